--- a/internal/version/recordlease/fenced_test.go
+++ b/internal/version/recordlease/fenced_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// fence makes those that a bench's leases act on refuse older fences.
-func (b *bench) fence() {
+// fence configures the leases for targets that reject older fences.
+func (b *testBench) fence() {
 	for _, lease := range b.leases {
 		lease.options.Fenced = true
 		lease.options.StartedAt = b.now.Add(-time.Minute)
 	}
 }
 
-// TestFencedLeaseActsAtOnce: what an older holder sends late is refused, so a new one that did
-// not act itself of late waits for nothing.
+// TestFencedLeaseActsAtOnce checks that a new holder that has not acted recently does not pause,
+// since delayed acts of the previous holder are rejected.
 func TestFencedLeaseActsAtOnce(t *testing.T) {
-	b, first := newActing(t, 2)
+	b, first := newTestBenchWithActingHolder(t, 2)
 	b.fence()
 	second := 1 - first
-	b.cut[first] = true
+	b.disconnected[first] = true
 	for !b.leases[second].Held(b.now) {
 		b.run(50 * time.Millisecond)
 	}
 	if !actsWithin(b, second, 300*time.Millisecond) {
-		t.Error("the new holder waits although older fences are refused")
+		t.Error("the new holder pauses although older fences are rejected")
 	}
 }
 
-// TestFencedLeaseTakesNoTurns: a holder that acted, lost the lease and has it back waits out the
-// pause, also after a restart.
+// TestFencedLeaseTakesNoTurns checks that a holder that acted, lost the lease and acquired it again
+// completes the pause, also after a restart.
 func TestFencedLeaseTakesNoTurns(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
-		b, first := newActing(t, 2)
+		b, first := newTestBenchWithActingHolder(t, 2)
 		b.fence()
 		second := 1 - first
 		actsWithin(b, first, time.Second)
@@ -58,7 +58,7 @@
 			}
 		}
 		if waited := b.now.Sub(lastAct); waited < b.leases[first].options.Pause {
-			t.Errorf("restarted %t: it acts again after %s, another holder between", restarted, waited)
+			t.Errorf("restarted %t: acts again %s after its last act, with another holder in between", restarted, waited)
 		}
 	}
 }
--- a/internal/version/recordlease/pause.go
+++ b/internal/version/recordlease/pause.go
@@ -3,38 +3,36 @@
 import "time"
 
 const (
-	// pauseMargin is added to the pause between two holders.
+	// pauseMargin is added to the pause between the acts of two holders.
 	pauseMargin = 300 * time.Millisecond
-	// actFor is the longest that an act may be under way.
-	actFor = 900 * time.Millisecond
+	// maxActDuration is the maximum time that an act is in flight.
+	maxActDuration = 900 * time.Millisecond
 )
 
-// untilActs returns how long the targets that a pause is owed to still wait, 0 if there are
-// none.
-func (l *Lease) untilActs(now time.Time) time.Duration {
-	if l.owed.empty() {
+// pauseRemaining returns how long the paused targets still have to wait, or 0 if there are none.
+func (l *Lease) pauseRemaining(now time.Time) time.Duration {
+	if l.pausedTargets.empty() {
 		return 0
 	}
-	return l.actAfter.Sub(now)
+	return l.pauseEnd.Sub(now)
 }
 
-// pauseLeft returns how long this node must not act on the targets of the record, as another
-// may have acted on them of late. Orders of one node's two lives are one holder's: back ends
-// tell nodes apart, not processes. So it goes on at once after a restart, but for what its
-// former life still owed.
-func (l *Lease) pauseLeft(now time.Time) time.Duration {
+// takeoverPause returns how long this node must not act on the targets that the previous holder may
+// have acted on. Replicas identify holders by node, so a restarted node only has to wait out a
+// pause that its previous incarnation had not completed.
+func (l *Lease) takeoverPause(now time.Time) time.Duration {
 	if l.options.Fenced {
 		return max(laterOf(l.lastAct, l.options.StartedAt).Add(l.options.Pause+pauseMargin).Sub(now), 0)
 	}
-	if least, _, known := l.options.Clock(now); known && l.row.Holder == l.options.Holder {
-		return max(time.Duration(l.row.ActsFromMs)*time.Millisecond-least, 0)
+	if earliest, _, known := l.options.Clock(now); known && l.record.Holder == l.options.Holder {
+		return max(time.Duration(l.record.ActsFromMs)*time.Millisecond-earliest, 0)
 	}
-	pauseFrom := l.changedAt
-	if l.row.Holder != "" {
-		// The former holder may act for as long as its last renewal counts.
-		pauseFrom = pauseFrom.Add(l.options.Cadence.Validity)
+	start := l.changedAt
+	if l.record.Holder != "" {
+		// The previous holder may act until its last renewal expires.
+		start = start.Add(l.options.Cadence.Validity)
 	}
-	return max(pauseFrom.Add(l.options.Pause+pauseMargin).Sub(now), 0)
+	return max(start.Add(l.options.Pause+pauseMargin).Sub(now), 0)
 }
 
 func laterOf(a, b time.Time) time.Time {
@@ -44,9 +42,8 @@
 	return b
 }
 
-// clockAt returns the most that the store's clock may show at a time to come, in
-// milliseconds.
-func (l *Lease) clockAt(now, at time.Time) int64 {
-	_, most, _ := l.options.Clock(now)
-	return (most + at.Sub(now)).Milliseconds() + 1
+// storeTimeAt returns the upper bound of the store's clock at a future time, in milliseconds.
+func (l *Lease) storeTimeAt(now, at time.Time) int64 {
+	_, latest, _ := l.options.Clock(now)
+	return (latest + at.Sub(now)).Milliseconds() + 1
 }
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -1,10 +1,11 @@
-// Package recordlease keeps one holder for a duty by a record of the store.
+// Package recordlease implements a lease on a record of the record store.
 //
-// Validity counts from sending the renewal. A challenger waits until the record has
-// stood unchanged for longer than that, on its own clock. The fence is the record's
-// revision at the acquisition, so it rises with each holder. As back ends also want
-// some time between the acts of two holders, the record tells beforehand on which targets
-// its holder acts. A new holder acts on these only after a pause, on all others at once.
+// A renewal is valid from the time it was sent. Another node may take the lease over once the
+// record has not changed for longer than that, measured by its own clock. The fence is the record's
+// revision at the acquisition and increases with each holder. Replicas also need a pause between
+// the acts of two holders. The holder therefore declares the targets of its acts in the record
+// beforehand. A new holder pauses before it acts on declared targets and can act on all others
+// immediately.
 package recordlease
 
 import (
@@ -18,83 +19,82 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// Options configure a Lease.
+// Options configures a Lease.
 type Options struct {
 	Key         port.RecordKey
 	Holder      string
 	Incarnation uint64
 	Queue       *task.Queue
-	// Cadence is Prompt unless it is set.
+	// Cadence defaults to Prompt.
 	Cadence Cadence
-	// Pause is the least time between the acts of two holders.
+	// Pause is the minimum time between the acts of two holders on a target.
 	Pause time.Duration
-	// Fenced says that those acted on refuse an older fence. A new holder need not wait then for
-	// acts of its predecessor that are under way; it only must not take turns with it, so the
-	// pause counts from its own last act, or from its start.
+	// Fenced states that targets reject acts with an older fence. A new holder then need not wait
+	// for acts of its predecessor. The pause counts from its own last act or its start, so that two
+	// holders do not alternate.
 	Fenced    bool
 	StartedAt time.Time
-	// Jitter, from 0 to 1, spreads the challengers; Nodes returns how many there may be, 0 where that is
-	// not known.
+	// Jitter, from 0 to 1, spreads takeover attempts. Nodes returns the number of nodes, or 0 if
+	// unknown.
 	Jitter float64
 	Nodes  func() int
-	// Clock returns the least and the most that the store's steady clock may show; known
-	// is false before its first answer.
+	// Clock returns the bounds of the store's monotonic clock. known is false before the first
+	// answer of the store.
 	Clock func(now time.Time) (least, most time.Duration, known bool)
-	// LateFor is how long an act without an answer may still take effect, 0 where none can. Unanswered returns
-	// the targets of this node's acts that may.
+	// LateFor is how long an unanswered act may still take effect, or 0 if it cannot. Unanswered
+	// returns the targets of this node's unanswered acts.
 	LateFor    time.Duration
 	Unanswered func(now time.Time) []string
-	// Observed returns the time up to which a change of the record would have been heard
-	// of, zero before the record was read.
+	// Observed returns the time up to which changes of the record have been observed, or zero if
+	// the record has not been read.
 	Observed func(now time.Time) time.Time
 }
 
-// Lease is one node's view; it belongs to the node's loop.
+// Lease is one node's view of a lease. It must only be used from the node's event loop.
 type Lease struct {
 	options Options
 
-	row      *doorstepv1.OrderLease
+	record   *doorstepv1.OrderLease
 	revision int64
-	// changedAt is when this node saw the record change, or could see it again after a
-	// time in which it could not.
+	// changedAt is when this node last saw the record change or regained sight of it.
 	changedAt time.Time
 
-	held       bool
-	fence      int64
-	validUntil time.Time
-	busy       bool
-	nextAt     time.Time
-	resigned   bool
-
-	// declared are the targets that the record surely tells of, wanted those that it is to
-	// tell of next.
-	declared, wanted targetSet
-	// owed are the targets that wait for actAfter, as another holder acted on them.
-	owed     targetSet
-	actAfter time.Time
-	// inherited are the targets on which acts of former holders may take effect until inheritedUntil: this node
-	// doesn't know which acts those are.
+	held          bool
+	fence         int64
+	validUntil    time.Time
+	commitPending bool
+	nextTick      time.Time
+	resigned      bool
+
+	// declared holds the targets that the record is known to declare. requested holds those that
+	// the next renewal has to declare.
+	declared, requested targetSet
+	// pausedTargets holds the targets of the previous holder's acts. This node must not act on them
+	// before pauseEnd.
+	pausedTargets targetSet
+	pauseEnd      time.Time
+	// inherited holds the targets on which unknown acts of previous holders may take effect until
+	// inheritedUntil.
 	inherited      targetSet
 	inheritedUntil time.Time
-	// lastAct is this node's last act on any target; acted tells of each, also of the
-	// former holder's.
+	// lastAct is the time of this node's last act. acted also includes acts of the previous holder.
 	lastAct time.Time
 	acted   actTimes
 }
 
-// New returns a lease whose record was not read yet.
+// New returns a lease whose record has not been read.
 func New(options Options) *Lease {
 	if options.Cadence == (Cadence{}) {
 		options.Cadence = Prompt
 	}
-	return &Lease{options: options, row: &doorstepv1.OrderLease{}}
+	return &Lease{options: options, record: &doorstepv1.OrderLease{}}
 }
 
-// Held reports whether this node holds the lease now.
+// Held reports whether this node holds the lease.
 func (l *Lease) Held(now time.Time) bool { return l.held && now.Before(l.validUntil) }
 
-// Left returns how long this node holds the lease unless it renews it. What it sends must
-// have arrived by then: the pause of the next holder counts from there.
+// Left returns the remaining validity of the lease, or 0 if it is not held. Acts must have arrived
+// by then, because the next holder's pause counts from that time.
 func (l *Lease) Left(now time.Time) time.Duration {
 	if !l.Held(now) {
 		return 0
@@ -102,32 +102,31 @@
 	return l.validUntil.Sub(now)
 }
 
-// Fenced notes that an act under a fence was refused as a newer holder has acted. This node
-// stops at once; a later acquisition brings a newer fence.
+// Fenced handles the rejection of an act because of a newer fence. This node gives up the lease at
+// once. It may acquire it again under a newer fence.
 func (l *Lease) Fenced(fence int64) {
 	if l.held && fence == l.fence {
-		l.lose("refused for a newer fence")
+		l.lose("act rejected because of a newer fence")
 	}
 }
 
-// Fence returns the number that orders the holders.
+// Fence returns the fencing token of the current acquisition.
 func (l *Lease) Fence() int64 { return l.fence }
 
 // Holder returns the last known holder.
-func (l *Lease) Holder() string { return l.row.Holder }
+func (l *Lease) Holder() string { return l.record.Holder }
 
-// Act reports whether the holder may act on a target now, and notes that it does. The
-// record must tell of the target beforehand, so the first call may have to wait for a
-// renewal.
+// Act reports whether the holder may act on a target now, and records the act. The target must be
+// declared in the record first, so the first call may return false until the next renewal.
 func (l *Lease) Act(now time.Time, target string) bool {
 	if !l.Held(now) || l.resigned {
 		return false
 	}
 	bucket := bucketOf(target)
-	if l.owed.has(bucket) && now.Before(l.actAfter) {
+	if l.pausedTargets.has(bucket) && now.Before(l.pauseEnd) {
 		return false
 	}
-	l.wanted.add(bucket)
+	l.requested.add(bucket)
 	if !l.declared.has(bucket) {
 		return false
 	}
@@ -136,17 +135,17 @@
 	return true
 }
 
-// Inherited reports whether an act of a former holder on a target may still take effect.
+// Inherited reports whether an act of a previous holder on a target may still take effect.
 func (l *Lease) Inherited(now time.Time, target string) bool {
 	return now.Before(l.inheritedUntil) && l.inherited.has(bucketOf(target))
 }
 
-// Tick renews, polls or challenges.
+// Tick renews, acquires or releases the lease when due.
 func (l *Lease) Tick(now time.Time) {
 	if l.held && !now.Before(l.validUntil) {
 		l.lose("not renewed in time")
 	}
-	if l.busy || now.Before(l.nextAt) && !l.mustDeclare(now) {
+	if l.commitPending || now.Before(l.nextTick) && !l.mustDeclare(now) {
 		return
 	}
 	switch {
@@ -154,24 +153,24 @@
 		l.Resign(now)
 	case l.held:
 		l.renew(now)
-	case !l.resigned && l.free(now):
+	case !l.resigned && l.available(now):
 		l.acquire(now)
 	}
 }
 
-// mustDeclare reports whether an act waits for the record to tell of it.
+// mustDeclare reports whether an act is waiting for its target to be declared.
 func (l *Lease) mustDeclare(now time.Time) bool {
-	return l.Held(now) && !l.wanted.within(&l.declared)
+	return l.Held(now) && !l.requested.subsetOf(&l.declared)
 }
 
-// told returns the targets that the record has to tell of: those that this node is about to
-// act on, those acted on so lately that the next holder owes them a pause, and those on which
-// an act may still take effect.
-func (l *Lease) told(now time.Time) targetSet {
-	set := l.acted.since(now, l.options.Pause+actFor+pauseMargin)
-	set.unite(&l.wanted)
+// targetsToDeclare returns the targets that the record has to declare: those of upcoming acts,
+// those of acts recent enough to require a pause of the next holder, and those of acts that may
+// still take effect.
+func (l *Lease) targetsToDeclare(now time.Time) targetSet {
+	set := l.acted.since(now, l.options.Pause+maxActDuration+pauseMargin)
+	set.union(&l.requested)
 	if now.Before(l.inheritedUntil) {
-		set.unite(&l.inherited)
+		set.union(&l.inherited)
 	}
 	if l.options.Unanswered != nil {
 		for _, target := range l.options.Unanswered(now) {
@@ -181,14 +180,14 @@
 	return set
 }
 
-// inherit takes the targets that a former holder's record tells of. A try whose answer is lost may stand, so
-// they are taken before it.
-func (l *Lease) inherit(now time.Time, former *doorstepv1.OrderLease) {
+// inherit records the targets of a previous holder. It must be called before the acquisition is
+// sent, which may succeed even if its answer is lost.
+func (l *Lease) inherit(now time.Time, previous *doorstepv1.OrderLease) {
 	if !now.Before(l.inheritedUntil) {
 		l.inherited = targetSet{}
 	}
-	targets := targetsOf(former)
-	l.inherited.unite(&targets)
+	targets := targetsOf(previous)
+	l.inherited.union(&targets)
 	l.inheritedUntil = now.Add(l.options.LateFor)
 }
 
@@ -205,46 +204,45 @@
 	return result.Records[0]
 }
 
-// OnRecord takes the record from the watch or from a conflict. What comes late is older
-// than what is known and is passed over.
+// OnRecord handles a new revision of the record. Older revisions are ignored.
 func (l *Lease) OnRecord(now time.Time, record port.Record) {
 	if record.Revision <= l.revision {
 		return
 	}
 	l.revision = record.Revision
 	l.changedAt = now
-	row := &doorstepv1.OrderLease{}
-	if err := proto.Unmarshal(record.Value, row); err == nil {
-		l.row = row
+	decoded := &doorstepv1.OrderLease{}
+	if err := proto.Unmarshal(record.Value, decoded); err == nil {
+		l.record = decoded
 	}
-	if l.held && !l.own() {
-		l.lose("taken by " + l.row.Holder)
+	if l.held && !l.ownRecord() {
+		l.lose("taken over by " + l.record.Holder)
 	}
 }
 
-// Observing notes whether the record can be seen. After a time in which it could not, the
-// wait for it to stand still begins anew: its holder, which was cut off alike, may go on.
+// Observing records whether the record can currently be observed. When it becomes observable
+// again, the takeover time restarts, since the holder may have been disconnected as well.
 func (l *Lease) Observing(now time.Time, observing bool) {
 	if observing {
 		l.changedAt = now
 	}
 }
 
-// own reports whether the record names this life of this node.
-func (l *Lease) own() bool {
-	return l.row.Holder == l.options.Holder && l.row.Incarnation == l.options.Incarnation
+// ownRecord reports whether the record names this incarnation of this node.
+func (l *Lease) ownRecord() bool {
+	return l.record.Holder == l.options.Holder && l.record.Incarnation == l.options.Incarnation
 }
 
-// free reports whether the lease may be taken. Taking it demands the revision that stood
-// still, so that nobody renewed it meanwhile; a wrong guess costs a call and no more.
-func (l *Lease) free(now time.Time) bool {
+// available reports whether the lease may be acquired. The acquisition is conditional on the
+// revision, so an outdated view only costs a failed call.
+func (l *Lease) available(now time.Time) bool {
 	observed := l.options.Observed(now)
 	if observed.IsZero() {
 		return false
 	}
-	// A record that names this node is from a former life, or from an acquisition
-	// whose answer was lost: no other process acts under it.
-	if l.row.Holder == "" || l.row.Holder == l.options.Holder {
+	// A record with this node's name is from a previous incarnation or from an acquisition whose
+	// answer was lost. No other process acts under it.
+	if l.record.Holder == "" || l.record.Holder == l.options.Holder {
 		return true
 	}
 	jitter := time.Duration(l.options.Jitter * float64(SpreadOver(l.options.Cadence.TakeoverSpread, l.options.Nodes)))
@@ -252,78 +250,78 @@
 }
 
 func (l *Lease) acquire(now time.Time) {
-	former := l.row
-	if former.Ordering && !l.own() {
-		l.inherit(now, former)
+	previous := l.record
+	if previous.Ordering && !l.ownRecord() {
+		l.inherit(now, previous)
 	}
-	next := &doorstepv1.OrderLease{Holder: l.options.Holder, Incarnation: l.options.Incarnation, Beat: former.Beat + 1, ActsFromMs: former.ActsFromMs}
-	if former.Ordering && !l.own() {
-		// The pause is owed from the try on: if its answer is lost, the record names this
-		// node and tells of its predecessor no more.
-		l.owed = targetsOf(former)
-		l.actAfter = now.Add(l.pauseLeft(now))
-		next.ActsFromMs = l.clockAt(now, l.actAfter)
-		// The record goes on telling of them until the pause is over, and for as long as a
-		// former life of this node may have acted.
-		actedAt := l.actAfter.Add(-l.options.Pause)
-		if former.Holder == l.options.Holder {
+	next := &doorstepv1.OrderLease{Holder: l.options.Holder, Incarnation: l.options.Incarnation, Beat: previous.Beat + 1, ActsFromMs: previous.ActsFromMs}
+	if previous.Ordering && !l.ownRecord() {
+		// Set before the acquisition is sent: if its answer is lost, the record already names this
+		// node and no longer its predecessor.
+		l.pausedTargets = targetsOf(previous)
+		l.pauseEnd = now.Add(l.takeoverPause(now))
+		next.ActsFromMs = l.storeTimeAt(now, l.pauseEnd)
+		// The record declares these targets until the pause is over, and for as long as a previous
+		// incarnation of this node may have acted on them.
+		actedAt := l.pauseEnd.Add(-l.options.Pause)
+		if previous.Holder == l.options.Holder {
 			actedAt = now
 		}
-		l.acted.raise(&l.owed, actedAt)
+		l.acted.advance(&l.pausedTargets, actedAt)
 	}
-	setTargets(next, l.told(now))
+	setTargets(next, l.targetsToDeclare(now))
 	l.commit(now, next, func(now, sentAt time.Time, result port.RecordResult) {
 		if result.Status != port.RecordDone {
-			l.adopt(now, result)
+			l.onConflict(now, result)
 			return
 		}
 		l.held = true
 		l.fence = result.Revision
 		l.validUntil = sentAt.Add(l.options.Cadence.Validity)
 		l.declared = targetsOf(next)
-		l.options.Queue.Log(event.LeaseAcquired, "lease", l.options.Key.Key, "fence", l.fence, "former", former.Holder,
-			"owed_ms", max(0, l.untilActs(now)).Milliseconds())
+		l.options.Queue.Log(event.LeaseAcquired, "lease", l.options.Key.Key, "fence", l.fence, "former", previous.Holder,
+			"owed_ms", max(0, l.pauseRemaining(now)).Milliseconds())
 	})
 }
 
 func (l *Lease) renew(now time.Time) {
-	next := proto.Clone(l.row).(*doorstepv1.OrderLease)
+	next := proto.Clone(l.record).(*doorstepv1.OrderLease)
 	next.Beat++
-	targets := l.told(now)
+	targets := l.targetsToDeclare(now)
 	setTargets(next, targets)
-	l.wanted = targetSet{}
-	// Until the answer the record may tell of either set.
+	l.requested = targetSet{}
+	// Until the renewal is answered, only targets in both sets are known to be declared.
 	l.declared.intersect(&targets)
 	l.commit(now, next, func(now, sentAt time.Time, result port.RecordResult) {
 		switch {
 		case result.Status == port.RecordDone:
 			l.validUntil = sentAt.Add(l.options.Cadence.Validity)
 			l.declared = targets
-			l.nextAt = sentAt.Add(l.options.Cadence.RenewEvery)
+			l.nextTick = sentAt.Add(l.options.Cadence.RenewEvery)
 		default:
-			l.adopt(now, result)
+			l.onConflict(now, result)
 		}
 	})
 }
 
-// adopt takes the record after a conflict: it is either this node's own write whose
+// onConflict applies the record returned by a conflict. It is either this node's own write, whose
 // answer was lost, or another holder's.
-func (l *Lease) adopt(now time.Time, result port.RecordResult) {
+func (l *Lease) onConflict(now time.Time, result port.RecordResult) {
 	if result.Status != port.RecordConflict {
 		return
 	}
 	l.OnRecord(now, firstRecord(result))
-	if l.held && l.own() {
-		l.nextAt = now
+	if l.held && l.ownRecord() {
+		l.nextTick = now
 	}
 }
 
 func (l *Lease) commit(now time.Time, next *doorstepv1.OrderLease, done func(now, sentAt time.Time, result port.RecordResult)) {
 	value, err := proto.Marshal(next)
 	if err != nil {
-		panic("a lease must encode: " + err.Error())
+		panic("cannot encode lease record: " + err.Error())
 	}
-	l.busy = true
+	l.commitPending = true
 	sentAt := now
 	l.options.Queue.Add(task.Commit{
 		Transaction: port.RecordTransaction{
@@ -331,10 +329,10 @@
 			Puts:          []port.Record{{RecordKey: l.options.Key, Value: value}},
 		},
 		Done: func(now time.Time, result port.RecordResult) {
-			l.busy = false
-			l.nextAt = now.Add(retryPause)
+			l.commitPending = false
+			l.nextTick = now.Add(retryDelay)
 			if result.Status == port.RecordDone {
-				l.row = next
+				l.record = next
 				l.revision = result.Revision
 				l.changedAt = now
 			}
@@ -343,19 +341,19 @@
 	})
 }
 
-// retryPause is the wait after a call that brought nothing.
-const retryPause = 100 * time.Millisecond
+// retryDelay is the delay after an unsuccessful call.
+const retryDelay = 100 * time.Millisecond
 
-// Resign gives the lease up and never takes it again. The record tells of it once no act is
-// under way any more: the pause of the next holder counts from there.
+// Resign releases the lease for good. The release is delayed until no act is in flight, because the
+// next holder's pause counts from it.
 func (l *Lease) Resign(now time.Time) {
 	l.resigned = true
-	if !l.held || l.busy || now.Sub(l.lastAct) < actFor {
+	if !l.held || l.commitPending || now.Sub(l.lastAct) < maxActDuration {
 		return
 	}
 	l.held = false
-	next := &doorstepv1.OrderLease{Beat: l.row.Beat + 1}
-	setTargets(next, l.told(now))
+	next := &doorstepv1.OrderLease{Beat: l.record.Beat + 1}
+	setTargets(next, l.targetsToDeclare(now))
 	l.options.Queue.Log(event.LeaseReleased, "lease", l.options.Key.Key, "fence", l.fence)
 	l.commit(now, next, func(time.Time, time.Time, port.RecordResult) {})
 }
--- a/internal/version/recordlease/recordlease_test.go
+++ b/internal/version/recordlease/recordlease_test.go
@@ -10,160 +10,157 @@
 )
 
 func TestOneHolder(t *testing.T) {
-	b := newBench(3)
+	b := newTestBench(3)
 	b.run(2 * time.Second)
-	first := b.only(t)
+	first := b.onlyHolder(t)
 	fence := b.leases[first].Fence()
 	b.run(10 * time.Second)
-	if b.only(t) != first || b.leases[first].Fence() != fence {
-		t.Error("a holder that renews stays")
+	if b.onlyHolder(t) != first || b.leases[first].Fence() != fence {
+		t.Error("a holder that renews its lease was replaced")
 	}
 }
 
 func TestCutHolderIsReplaced(t *testing.T) {
-	b := newBench(3)
+	b := newTestBench(3)
 	b.run(2 * time.Second)
-	first := b.only(t)
-	b.cut[first] = true
+	first := b.onlyHolder(t)
+	b.disconnected[first] = true
 	b.run(Prompt.Validity + 100*time.Millisecond)
 	if len(b.holders()) != 0 {
-		t.Error("a holder that can't renew holds no longer than its validity")
+		t.Error("a holder that cannot renew still holds the lease after its validity")
 	}
 	b.run(4 * time.Second)
-	second := b.only(t)
+	second := b.onlyHolder(t)
 	if second == first || b.leases[second].Fence() <= b.leases[first].Fence() {
-		t.Error("another holds, under a higher fence")
+		t.Error("the lease was not taken over under a higher fence")
 	}
-	b.cut[first] = false
+	b.disconnected[first] = false
 	b.run(5 * time.Second)
-	if b.only(t) != second {
-		t.Error("the former holder doesn't come back")
+	if b.onlyHolder(t) != second {
+		t.Error("the previous holder took the lease back")
 	}
 }
 
 func TestActsAreApart(t *testing.T) {
-	b := newBench(2)
+	b := newTestBench(2)
 	b.run(2 * time.Second)
-	first := b.only(t)
+	first := b.onlyHolder(t)
 	for !b.leases[first].Act(b.now, target) {
 		b.run(50 * time.Millisecond)
 	}
 	acted := b.now
-	b.cut[first] = true
+	b.disconnected[first] = true
 	for !b.leases[1-first].Act(b.now, target) {
 		if b.leases[first].Act(b.now, target) {
 			acted = b.now
 		}
 		b.run(50 * time.Millisecond)
 		if b.now.Sub(acted) > time.Minute {
-			t.Fatal("the next holder never acts")
+			t.Fatal("the next holder was never able to act")
 		}
 	}
 	if apart := b.now.Sub(acted); apart < 3*time.Second {
-		t.Errorf("acts of two holders are %s apart", apart)
+		t.Errorf("acts of two holders are %s apart, want at least 3s", apart)
 	}
 }
 
 func TestFormerHolderGoesOnAtOnce(t *testing.T) {
-	b, first := newActing(t, 2)
-	b.cut[0], b.cut[1] = true, true
+	b, first := newTestBenchWithActingHolder(t, 2)
+	b.disconnected[0], b.disconnected[1] = true, true
 	b.run(4 * time.Second)
-	b.cut[0], b.cut[1] = false, false
+	b.disconnected[0], b.disconnected[1] = false, false
 	b.run(time.Second)
-	if b.only(t) != first || !actsWithin(b, first, 100*time.Millisecond) {
-		t.Error("after an outage of the store its last holder goes on: there is no other to keep apart from")
+	if b.onlyHolder(t) != first || !actsWithin(b, first, 100*time.Millisecond) {
+		t.Error("the last holder does not act immediately after a store outage")
 	}
 }
 
-// Seed 336 of the cluster simulation: orders of two holders within 2 s.
+// The pause after the first holder's act must continue when the second holder loses the lease.
 func TestPauseOutlivesALostLease(t *testing.T) {
-	b, first := newActing(t, 2)
+	b, first := newTestBenchWithActingHolder(t, 2)
 	second, acted := 1-first, b.now
 	b.leases[first].Resign(b.now)
 	for !b.leases[second].Held(b.now) {
 		b.run(50 * time.Millisecond)
 	}
-	b.cut[second] = true
+	b.disconnected[second] = true
 	b.run(Prompt.Validity + 100*time.Millisecond)
-	b.cut[second] = false
-	b.actsApart(t, second, acted)
+	b.disconnected[second] = false
+	b.assertPause(t, second, acted)
 }
 
-// Seed 183 of the simulation: an order was under way for most of a second when its holder
-// resigned, and reached its replica within the pause of the next holder.
+// An act in flight when its holder resigns must not arrive during the pause of the next holder.
 func TestPauseCountsFromTheEndOfActs(t *testing.T) {
-	b, first := newActing(t, 2)
-	arrived := b.now.Add(actFor)
+	b, first := newTestBenchWithActingHolder(t, 2)
+	arrived := b.now.Add(maxActDuration)
 	b.leases[first].Resign(b.now)
-	b.actsApart(t, 1-first, arrived)
+	b.assertPause(t, 1-first, arrived)
 }
 
 func TestResignedLeasePassesQuickly(t *testing.T) {
-	b := newBench(2)
+	b := newTestBench(2)
 	b.run(2 * time.Second)
-	first := b.only(t)
+	first := b.onlyHolder(t)
 	b.leases[first].Resign(b.now)
 	b.run(time.Second)
-	second := b.only(t)
+	second := b.onlyHolder(t)
 	if second == first || !b.leases[second].Act(b.now, target) && !actsWithin(b, second, time.Second) {
-		t.Error("a lease that was given up, and under which nobody acted, passes at once")
+		t.Error("a resigned lease without acts was not taken over immediately")
 	}
 }
 
 func TestLostAnswers(t *testing.T) {
-	b := newBench(2)
-	b.lost[0], b.lost[1] = true, true
+	b := newTestBench(2)
+	b.loseAnswers[0], b.loseAnswers[1] = true, true
 	b.run(3 * time.Second)
-	b.lost[0], b.lost[1] = false, false
+	b.loseAnswers[0], b.loseAnswers[1] = false, false
 	b.run(6 * time.Second)
-	b.only(t)
+	b.onlyHolder(t)
 }
 
-// Seed 49 of the simulation: the answer to an acquisition was lost, and the holder took its
-// own record for proof that nobody else had acted of late.
+// The pause must be observed even if the answer to the acquisition is lost and the record already
+// names the new holder.
 func TestPauseOutlivesALostAcquisition(t *testing.T) {
-	b, first := newActing(t, 2)
+	b, first := newTestBenchWithActingHolder(t, 2)
 	second, acted := 1-first, b.now
-	b.lost[second] = true
+	b.loseAnswers[second] = true
 	b.leases[first].Resign(b.now)
 	b.run(300 * time.Millisecond)
-	b.lost[second] = false
-	b.actsApart(t, second, acted)
+	b.loseAnswers[second] = false
+	b.assertPause(t, second, acted)
 }
 
-// Incident 9eec: after the loss of all machines the holder's node was back at once, and
-// ordered nothing for 4.8 s.
+// A restarted node that still holds the lease must act without a pause.
 func TestRestartedHolderGoesOnAtOnce(t *testing.T) {
-	b, first := newActing(t, 2)
+	b, first := newTestBenchWithActingHolder(t, 2)
 	b.restart(first)
 	if !actsWithin(b, first, 500*time.Millisecond) {
-		t.Error("a node that returns as the holder acts at once: there is no other to keep apart from")
+		t.Error("a restarted holder does not act immediately")
 	}
 }
 
-// A node that took the lease from another owes the pause to it over a restart.
+// A pause that is not complete must continue after a restart of the holder.
 func TestPauseOutlivesARestart(t *testing.T) {
-	b, first := newActing(t, 2)
+	b, first := newTestBenchWithActingHolder(t, 2)
 	second, acted := 1-first, b.now
 	b.leases[first].Resign(b.now)
-	b.run(actFor + 500*time.Millisecond)
+	b.run(maxActDuration + 500*time.Millisecond)
 	if !b.leases[second].Held(b.now) {
-		t.Fatal("the lease is not taken")
+		t.Fatal("the lease was not taken over")
 	}
 	b.restart(second)
-	b.actsApart(t, second, acted)
+	b.assertPause(t, second, acted)
 }
 
-// Incident 0004: the next holder owed the pause to all replicas, also to those that its
-// predecessor had not ordered, and no version was ordered for 3.3 s.
+// Targets that the previous holder did not act on must not be paused.
 func TestOtherTargetsNeedNoPause(t *testing.T) {
 	for _, planned := range []bool{true, false} {
-		b, first := newActing(t, 2)
+		b, first := newTestBenchWithActingHolder(t, 2)
 		second, acted := 1-first, b.now
 		if planned {
 			b.leases[first].Resign(b.now)
 		} else {
-			b.cut[first] = true
+			b.disconnected[first] = true
 		}
 		for !b.leases[second].Held(b.now) {
 			b.run(50 * time.Millisecond)
@@ -173,53 +170,53 @@
 			b.run(50 * time.Millisecond)
 		}
 		if waited := b.now.Sub(held); waited > 100*time.Millisecond {
-			t.Errorf("planned %t: a target that the former holder left alone waits %s", planned, waited)
+			t.Errorf("planned %t: a target without previous acts was paused for %s", planned, waited)
 		}
-		b.actsApart(t, second, acted)
+		b.assertPause(t, second, acted)
 	}
 }
 
-// The third holder owes the pause to the first one's targets, though the second never acted.
+// A third holder must pause for the first holder's targets even if the second never acted.
 func TestPauseOutlivesAHolderThatDidNotAct(t *testing.T) {
-	b, first := newActing(t, 3)
+	b, first := newTestBenchWithActingHolder(t, 3)
 	acted := b.now
 	b.leases[first].Resign(b.now)
-	for len(b.holders()) == 0 || b.only(t) == first {
+	for len(b.holders()) == 0 || b.onlyHolder(t) == first {
 		b.run(50 * time.Millisecond)
 	}
-	second := b.only(t)
+	second := b.onlyHolder(t)
 	b.leases[second].Resign(b.now)
-	for len(b.holders()) == 0 || b.only(t) == second {
+	for len(b.holders()) == 0 || b.onlyHolder(t) == second {
 		b.run(50 * time.Millisecond)
 	}
-	b.actsApart(t, b.only(t), acted)
+	b.assertPause(t, b.onlyHolder(t), acted)
 }
 
-// A renewal that drops a target and whose answer is lost may stand: until the next answer
-// the holder must not act on that target.
+// A renewal with a lost answer may have removed a target from the record, so the holder must not
+// act on that target.
 func TestLostRenewalDeclaresNothing(t *testing.T) {
-	b, first := newActing(t, 2)
-	b.run(b.leases[first].options.Pause + actFor + pauseMargin - 100*time.Millisecond)
-	b.lost[first] = true
+	b, first := newTestBenchWithActingHolder(t, 2)
+	b.run(b.leases[first].options.Pause + maxActDuration + pauseMargin - 100*time.Millisecond)
+	b.loseAnswers[first] = true
 	b.run(Prompt.RenewEvery + 100*time.Millisecond)
 	if !b.leases[first].Held(b.now) {
 		t.Fatal("the lease is not held")
 	}
 	if b.leases[first].Act(b.now, target) {
-		t.Error("acts on a target that the record may no longer tell of")
+		t.Error("acted on a target that the record may no longer declare")
 	}
 }
 
-// A record of a node that kept no targets says only that its holder acts.
+// A record written by a version without targets must be treated as declaring all of them.
 func TestRecordWithoutTargetsMeansAll(t *testing.T) {
 	set := targetsOf(&doorstepv1.OrderLease{Ordering: true})
 	for bucket := range targetBuckets {
 		if !set.has(bucket) {
-			t.Fatalf("bucket %d may have been acted on", bucket)
+			t.Fatalf("bucket %d is missing", bucket)
 		}
 	}
 	if set := targetsOf(&doorstepv1.OrderLease{}); !set.empty() {
-		t.Error("a holder that does not act has no targets")
+		t.Error("a record without acts has targets")
 	}
 }
 
@@ -233,45 +230,45 @@
 		row := &doorstepv1.OrderLease{}
 		setTargets(row, set)
 		read = targetsOf(row)
-		if row.Ordering != (len(names) > 0) || read != set || !set.within(&read) {
+		if row.Ordering != (len(names) > 0) || read != set || !set.subsetOf(&read) {
 			t.Fatalf("%v reads as %v", set, read)
 		}
 	})
 }
 
-// TestUnansweredActsAreToldOn: a holder's act without an answer may take effect for seconds. The next holders know the
-// targets of such acts until then, also the one after the next, and of no others.
+// TestUnansweredActsAreToldOn checks that all later holders know the targets of unanswered acts,
+// and only those, for as long as the acts may take effect.
 func TestUnansweredActsAreToldOn(t *testing.T) {
 	const lateFor = 10 * time.Second
-	b := newBench(3)
+	b := newTestBench(3)
 	for i, lease := range b.leases {
 		lease.options.LateFor = lateFor
 		if i == 0 {
 			lease.options.Unanswered = func(time.Time) []string { return []string{target} }
 		}
 	}
-	hold := func(i int) {
+	makeHolder := func(i int) {
 		for other := range b.leases {
-			b.cut[other] = other != i
+			b.disconnected[other] = other != i
 		}
 		for end := b.now.Add(time.Minute); !b.leases[i].Held(b.now) && b.now.Before(end); {
 			b.run(50 * time.Millisecond)
 		}
 		b.run(time.Second)
 	}
-	hold(0)
+	makeHolder(0)
 	b.run(lateFor)
 	for _, next := range []int{1, 2} {
-		hold(next)
+		makeHolder(next)
 		if !b.leases[next].Inherited(b.now, target) {
-			t.Errorf("holder %d does not know of the act without an answer", next)
+			t.Errorf("holder %d does not know the unanswered act's target", next)
 		}
 		if b.leases[next].Inherited(b.now, other) {
-			t.Errorf("holder %d holds a target that nobody acted on for one", next)
+			t.Errorf("holder %d inherited a target without acts", next)
 		}
 	}
 	b.run(lateFor)
 	if b.leases[2].Inherited(b.now, target) {
-		t.Error("an act that can't take effect any more is told of")
+		t.Error("an expired act is still inherited")
 	}
 }
--- a/internal/version/recordlease/targets.go
+++ b/internal/version/recordlease/targets.go
@@ -8,12 +8,11 @@
 	doorstepv1 "github.com/doorstep/doorstep/api/doorstep/v1"
 )
 
-// targetBuckets is how many buckets the targets of acts fall into. The record holds a bit
-// for each: 32 bytes whatever the number of targets. Two targets that share a bucket wait
-// for one another's pause, which costs time and no more.
+// targetBuckets is the number of hash buckets for the targets of acts. A bitmap of them fits into
+// 32 bytes of the record. Targets that share a bucket also share a pause, which only costs time.
 const targetBuckets = 256
 
-// targetSet is a set of buckets.
+// targetSet is a bitmap of buckets.
 type targetSet [targetBuckets / 8]byte
 
 func bucketOf(target string) int { return int(xxhash.Sum64String(target) % targetBuckets) }
@@ -24,8 +23,8 @@
 
 func (s *targetSet) empty() bool { return *s == targetSet{} }
 
-// within reports whether another set holds all of this one.
-func (s *targetSet) within(other *targetSet) bool {
+// subsetOf reports whether other contains all buckets of s.
+func (s *targetSet) subsetOf(other *targetSet) bool {
 	for i := range s {
 		if s[i]&^other[i] != 0 {
 			return false
@@ -34,26 +33,24 @@
 	return true
 }
 
-// intersect drops what another set does not hold.
 func (s *targetSet) intersect(other *targetSet) {
 	for i := range s {
 		s[i] &= other[i]
 	}
 }
 
-// unite adds what another set holds.
-func (s *targetSet) unite(other *targetSet) {
+func (s *targetSet) union(other *targetSet) {
 	for i := range s {
 		s[i] |= other[i]
 	}
 }
 
-// targetsOf returns the targets that a record's holder may have acted on of late. A record
-// that says that it acts, and not on what, was written by a node that kept no targets: it may
-// have acted on any.
-func targetsOf(row *doorstepv1.OrderLease) targetSet {
+// targetsOf returns the targets that the record's holder may have recently acted on. A record with
+// Ordering set but without targets was written by a version that does not declare them, so any
+// target may be affected.
+func targetsOf(record *doorstepv1.OrderLease) targetSet {
 	var set targetSet
-	if copy(set[:], row.Targets) == 0 && row.Ordering {
+	if copy(set[:], record.Targets) == 0 && record.Ordering {
 		for i := range set {
 			set[i] = 0xff
 		}
@@ -61,19 +58,19 @@
 	return set
 }
 
-// setTargets writes a set into a record.
-func setTargets(row *doorstepv1.OrderLease, set targetSet) {
-	row.Ordering = !set.empty()
-	row.Targets = nil
-	if row.Ordering {
-		row.Targets = set[:]
+// setTargets stores the set in a record.
+func setTargets(record *doorstepv1.OrderLease, set targetSet) {
+	record.Ordering = !set.empty()
+	record.Targets = nil
+	if record.Ordering {
+		record.Targets = set[:]
 	}
 }
 
-// actTimes holds for each bucket when it was last acted on.
+// actTimes holds the time of the last act by bucket.
 type actTimes [targetBuckets]time.Time
 
-// since returns the buckets that were acted on less than a span ago.
+// since returns the buckets that were acted on within the span.
 func (a *actTimes) since(now time.Time, span time.Duration) targetSet {
 	var set targetSet
 	for bucket, at := range a {
@@ -84,8 +81,8 @@
 	return set
 }
 
-// raise notes acts on the buckets of a set that may have been as late as a time.
-func (a *actTimes) raise(set *targetSet, at time.Time) {
+// advance sets the buckets' last act to at if it was earlier.
+func (a *actTimes) advance(set *targetSet, at time.Time) {
 	for bucket := range a {
 		if set.has(bucket) && a[bucket].Before(at) {
 			a[bucket] = at
--- a/internal/version/recordlease/bench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -9,22 +9,23 @@
 	"github.com/doorstep/doorstep/internal/standin/model"
 )
 
-// bench drives leases over one store, with no time between call and answer.
-type bench struct {
+// testBench runs leases on a shared store that answers immediately.
+type testBench struct {
 	now    time.Time
 	store  *model.Records
 	leases []*Lease
 	queues []*task.Queue
-	// cut leases get no answers; lost ones' writes are done and not answered.
-	cut, lost map[int]bool
-	// seenAt is when each lease last saw the record.
-	seenAt map[int]time.Time
-	// blind leases were cut when they looked last.
-	blind map[int]bool
+	// Calls of disconnected leases fail. Writes of leases in loseAnswers succeed but are not
+	// answered.
+	disconnected, loseAnswers map[int]bool
+	// observedAt is when each lease last observed the record.
+	observedAt map[int]time.Time
+	// missedUpdates holds the leases that were disconnected at the last observation.
+	missedUpdates map[int]bool
 }
 
-func newBench(count int) *bench {
-	b := &bench{now: time.Unix(1000, 0), cut: map[int]bool{}, lost: map[int]bool{}, seenAt: map[int]time.Time{}, blind: map[int]bool{}}
+func newTestBench(count int) *testBench {
+	b := &testBench{now: time.Unix(1000, 0), disconnected: map[int]bool{}, loseAnswers: map[int]bool{}, observedAt: map[int]time.Time{}, missedUpdates: map[int]bool{}}
 	b.store = model.NewRecords(b.now, model.RecordsOptions{})
 	for i := range count {
 		queue := &task.Queue{}
@@ -37,11 +38,11 @@
 	return b
 }
 
-// target is what the leases act on unless a test says otherwise; other is in another bucket.
+// target is the default target of acts. other falls into a different bucket.
 const target, other = "replica-1", "replica-2"
 
-// run lets time pass, with a tick each 50 ms.
-func (b *bench) run(length time.Duration) {
+// run advances the time in steps of 50 ms.
+func (b *testBench) run(length time.Duration) {
 	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(50 * time.Millisecond) {
 		for i := range b.leases {
 			b.tick(i)
@@ -49,7 +50,7 @@
 	}
 }
 
-func (b *bench) tick(i int) {
+func (b *testBench) tick(i int) {
 	b.leases[i].Tick(b.now)
 	for {
 		tasks := b.queues[i].Take()
@@ -57,26 +58,26 @@
 			return
 		}
 		for _, one := range tasks {
-			b.carryOut(i, one)
+			b.execute(i, one)
 		}
 	}
 }
 
-func (b *bench) carryOut(i int, one task.Task) {
+func (b *testBench) execute(i int, one task.Task) {
 	unknown := port.RecordResult{Status: port.RecordUnknown}
 	switch t := one.(type) {
 	case task.Commit:
-		if b.cut[i] {
+		if b.disconnected[i] {
 			t.Done(b.now, unknown)
 			return
 		}
 		result := b.store.Commit(b.now, t.Transaction)
-		if b.lost[i] {
+		if b.loseAnswers[i] {
 			result = unknown
 		}
 		t.Done(b.now, result)
 	case task.Range:
-		if b.cut[i] {
+		if b.disconnected[i] {
 			t.Done(b.now, unknown)
 			return
 		}
@@ -84,49 +85,49 @@
 	}
 }
 
-// clock is the store's, known to 20 ms.
-func (b *bench) clock(now time.Time) (least, most time.Duration, known bool) {
+// clock returns the store's clock with an uncertainty of 20 ms.
+func (b *testBench) clock(now time.Time) (least, most time.Duration, known bool) {
 	shown := now.Sub(time.Unix(1000, 0))
 	return shown - 10*time.Millisecond, shown + 10*time.Millisecond, true
 }
 
-// restart gives a node's lease a new life.
-func (b *bench) restart(i int) {
+// restart replaces a node's lease by a new incarnation.
+func (b *testBench) restart(i int) {
 	options := b.leases[i].options
 	options.Incarnation++
 	b.leases[i] = New(options)
 }
 
-// observe feeds a lease the record as a watch does, unless the lease is cut.
-func (b *bench) observe(i int, now time.Time) time.Time {
-	if b.cut[i] {
-		b.blind[i] = true
-		return b.seenAt[i]
+// observe delivers the record to a lease unless it is disconnected.
+func (b *testBench) observe(i int, now time.Time) time.Time {
+	if b.disconnected[i] {
+		b.missedUpdates[i] = true
+		return b.observedAt[i]
 	}
-	if b.blind[i] {
-		b.blind[i] = false
+	if b.missedUpdates[i] {
+		b.missedUpdates[i] = false
 		b.leases[i].Observing(now, true)
 	}
 	for _, record := range b.store.Range(now, port.RecordRange{Table: "leases"}).Records {
 		b.leases[i].OnRecord(now, record)
 	}
-	b.seenAt[i] = now
+	b.observedAt[i] = now
 	return now
 }
 
-// newActing returns leases of which the first holder acts.
-func newActing(t *testing.T, count int) (b *bench, first int) {
+// newTestBenchWithActingHolder returns leases whose first holder has acted on target.
+func newTestBenchWithActingHolder(t *testing.T, count int) (b *testBench, first int) {
 	t.Helper()
-	b = newBench(count)
+	b = newTestBench(count)
 	b.run(2 * time.Second)
-	first = b.only(t)
+	first = b.onlyHolder(t)
 	if !actsWithin(b, first, time.Second) {
-		t.Fatal("the holder does not act")
+		t.Fatal("the holder cannot act")
 	}
 	return b, first
 }
 
-func (b *bench) holders() []int {
+func (b *testBench) holders() []int {
 	var held []int
 	for i, lease := range b.leases {
 		if lease.Held(b.now) {
@@ -136,31 +137,31 @@
 	return held
 }
 
-func (b *bench) only(t *testing.T) int {
+func (b *testBench) onlyHolder(t *testing.T) int {
 	t.Helper()
 	held := b.holders()
 	if len(held) != 1 {
-		t.Fatalf("held by %v", held)
+		t.Fatalf("lease held by %v, want one holder", held)
 	}
 	return held[0]
 }
 
-// actsApart waits until a lease may act, and holds the time since another's last act
-// against the pause that is asked between two holders.
-func (b *bench) actsApart(t *testing.T, i int, acted time.Time) {
+// assertPause waits until a lease may act and checks the time since another holder's last act
+// against the required pause.
+func (b *testBench) assertPause(t *testing.T, i int, acted time.Time) {
 	t.Helper()
 	for !b.leases[i].Act(b.now, target) {
 		b.run(50 * time.Millisecond)
 		if b.now.Sub(acted) > time.Minute {
-			t.Fatal("the next holder never acts")
+			t.Fatal("the next holder was never able to act")
 		}
 	}
 	if apart := b.now.Sub(acted); apart < 3*time.Second {
-		t.Errorf("acts of two holders are %s apart", apart)
+		t.Errorf("acts of two holders are %s apart, want at least 3s", apart)
 	}
 }
 
-func actsWithin(b *bench, index int, length time.Duration) bool {
+func actsWithin(b *testBench, index int, length time.Duration) bool {
 	for end := b.now.Add(length); b.now.Before(end); {
 		if b.leases[index].Act(b.now, target) {
 			return true
