--- a/internal/version/usage/clock.go
+++ b/internal/version/usage/clock.go
@@ -12,60 +12,60 @@
 )
 
 const (
-	// settleFor is how long after its start a node first sets the clock: all nodes that start
-	// together have told their clocks by then.
-	settleFor = 6 * time.Second
-	// reviewEvery paces the look at all nodes' clocks, retryReview a look that brought nothing.
-	reviewEvery = 20 * time.Second
-	// doubtReview paces it while no two nodes agreed on the clock that is set.
-	doubtReview = 5 * time.Second
-	retryReview = time.Second
-	// adjustFrom is by how much the median must differ for the clock to be set anew: a step of
-	// less moves hardly a request into another window.
-	adjustFrom = 10 * time.Millisecond
-	// agreeWithin is how near to the median most nodes' clocks must be for it to count: those that
-	// are kept in time differ by some tens of milliseconds, those that jumped by seconds.
-	agreeWithin = 100 * time.Millisecond
-	// looksToAdjust is how many looks in a row must find the same for the clock to be set anew.
-	// What a node told of its clock is looked at for as long as it stands, and clocks that jumped
-	// come back within seconds.
-	looksToAdjust = 3
-	// disagreeFor is how long after its first look a node waits for most nodes to agree.
-	disagreeFor = 15 * time.Second
+	// startupDelay is how long after its start a node waits before it first sets the clock, so that
+	// nodes that start together have all written their offsets.
+	startupDelay = 6 * time.Second
+	// The nodes' offsets are reviewed every reviewInterval, and reviewRetryDelay after an
+	// unsuccessful review.
+	reviewInterval = 20 * time.Second
+	// unconfirmedReviewInterval is the interval while no two nodes agree with the clock.
+	unconfirmedReviewInterval = 5 * time.Second
+	reviewRetryDelay          = time.Second
+	// minAdjustment is the minimum difference of the median from the clock's offset for an
+	// adjustment.
+	minAdjustment = 10 * time.Millisecond
+	// agreementTolerance is the maximum difference from the median for a node to agree with it.
+	agreementTolerance = 100 * time.Millisecond
+	// reviewsToAdjust is the number of consecutive reviews that must find the same offset for an
+	// adjustment. A node's offset is only as recent as its record, and clocks that jumped usually
+	// return within seconds.
+	reviewsToAdjust = 3
+	// majorityTimeout is how long after its first review a node waits for a majority to agree.
+	majorityTimeout = 15 * time.Second
 )
 
-// ClockKeeper sets the clock while its node holds the lease; it belongs to the node's loop.
+// ClockKeeper sets the clock while its node holds the lease. It must only be used from the node's
+// event loop.
 type ClockKeeper struct {
 	Queue *task.Queue
 	Lease *recordlease.Lease
 	Clock *Clock
-	// Key names the clock's record.
-	Key port.RecordKey
-	// StartedAt is when the node started.
+	// Key is the key of the clock's record.
+	Key       port.RecordKey
 	StartedAt time.Time
-	// StoreClock returns the reading of the record store's clock at a time, false before its
-	// first answer.
+	// StoreClock returns the reading of the record store's clock at a given time. It returns false
+	// before the store's first answer.
 	StoreClock func(at time.Time) (time.Duration, bool)
-	// Nodes asks for what nodes tell of themselves, OffsetOf returns the offset of a node's
-	// wall clock to the store's from its record, false if it tells none.
+	// Nodes is the range of the nodes' records. OffsetOf returns the offset between a node's wall
+	// clock and the store's clock from its record, or false if the record has none.
 	Nodes    port.RecordRange
 	OffsetOf func(record port.Record) (time.Duration, bool)
 
-	revision int64
-	busy     bool
-	nextAt   time.Time
-	// candidate is an offset off the clock's that so many looks in a row have found.
-	candidate time.Duration
-	looks     int
-	// confirmed is the most nodes that were seen to agree with the clock.
+	revision       int64
+	requestPending bool
+	nextReview     time.Time
+	// candidate is a deviating offset that candidateReviews consecutive reviews have found.
+	candidate        time.Duration
+	candidateReviews int
+	// confirmed is the maximum number of nodes that agreed with the clock.
 	confirmed int
-	// firstLookAt is when the nodes' clocks were first looked at while the clock is not set, told how many
-	// nodes told of theirs at the last of these looks.
-	firstLookAt time.Time
-	told        int
+	// firstReviewAt is the time of the first review while the clock is not set. lastNodeCount is
+	// the number of nodes with an offset at the latest such review.
+	firstReviewAt time.Time
+	lastNodeCount int
 }
 
-// OnRecord takes the clock's record.
+// OnRecord handles a new revision of the clock's record.
 func (k *ClockKeeper) OnRecord(record port.Record) {
 	if record.Revision <= k.revision {
 		return
@@ -76,104 +76,106 @@
 	}
 }
 
-// Tick looks at the nodes' clocks now and then.
+// Tick reviews the nodes' offsets when due.
 func (k *ClockKeeper) Tick(now time.Time) {
 	if !k.Lease.Held(now) {
-		k.looks = 0
+		k.candidateReviews = 0
 		return
 	}
-	if k.busy || now.Before(k.nextAt) || now.Sub(k.StartedAt) < settleFor {
+	if k.requestPending || now.Before(k.nextReview) || now.Sub(k.StartedAt) < startupDelay {
 		return
 	}
-	k.busy = true
-	k.nextAt = now.Add(reviewEvery)
+	k.requestPending = true
+	k.nextReview = now.Add(reviewInterval)
 	k.Queue.Add(task.Range{Query: k.Nodes, Done: func(now time.Time, result port.RecordResult) {
-		k.busy = false
+		k.requestPending = false
 		var offsets []time.Duration
 		for _, record := range result.Records {
-			if offset, told := k.OffsetOf(record); told {
+			if offset, ok := k.OffsetOf(record); ok {
 				offsets = append(offsets, offset)
 			}
 		}
 		at, known := k.StoreClock(now)
 		if len(offsets) == 0 || !known {
-			k.nextAt = now.Add(retryReview)
+			k.nextReview = now.Add(reviewRetryDelay)
 			return
 		}
 		k.review(now, at, offsets)
 	}})
 }
 
-// majority returns the middle one of offsets, and how many agree with it, 0 if these are not most
-// of them. One alone agrees with nobody.
-func majority(offsets []time.Duration) (middle time.Duration, agreed int) {
+// majority returns the median offset and the number of nodes that agree with it. The number is 0
+// unless they are a majority of at least two.
+func majority(offsets []time.Duration) (median time.Duration, agreed int) {
 	slices.Sort(offsets)
-	middle = offsets[len(offsets)/2]
-	for _, one := range offsets {
-		if (one - middle).Abs() <= agreeWithin {
+	median = offsets[len(offsets)/2]
+	for _, offset := range offsets {
+		if (offset - median).Abs() <= agreementTolerance {
 			agreed++
 		}
 	}
 	if agreed < 2 || 2*agreed <= len(offsets) {
-		return middle, 0
+		return median, 0
 	}
-	return middle, agreed
+	return median, agreed
 }
 
-// review sets the clock if it is not set, or if most nodes agree that it is off: for long, or more
-// of them than ever agreed with it.
+// review sets the clock if it is not set. It adjusts the clock if a majority agrees on another
+// offset, either in several consecutive reviews or with more nodes than have agreed with the clock.
 func (k *ClockKeeper) review(now time.Time, at time.Duration, offsets []time.Duration) {
-	middle, agreed := majority(offsets)
+	median, agreed := majority(offsets)
 	if !k.Clock.known {
-		k.first(now, at, middle, agreed, len(offsets))
+		k.setInitially(now, at, median, agreed, len(offsets))
 		return
 	}
 	k.confirmed = max(k.confirmed, k.Clock.agreed)
 	if k.confirmed == 0 {
-		k.nextAt = now.Add(doubtReview)
+		k.nextReview = now.Add(unconfirmedReviewInterval)
 	}
 	switch {
 	case agreed == 0:
-		k.looks = 0
-	case (middle - k.Clock.offset).Abs() < adjustFrom:
-		k.looks = 0
+		k.candidateReviews = 0
+	case (median - k.Clock.offset).Abs() < minAdjustment:
+		k.candidateReviews = 0
 		k.confirmed = max(k.confirmed, agreed)
-	case agreed > k.confirmed || k.lasts(middle):
-		k.set(now, at, middle, agreed)
+	case agreed > k.confirmed || k.confirmCandidate(median):
+		k.set(now, at, median, agreed)
 	}
 }
 
-// first sets the clock for the first time, once most nodes agree, and as many told of their clocks as at the look
-// before: after an outage the first that do may all be off. It waits for neither for long.
-func (k *ClockKeeper) first(now time.Time, at, middle time.Duration, agreed, told int) {
-	if k.firstLookAt.IsZero() {
-		k.firstLookAt = now
+// setInitially sets the clock once a majority agrees and the number of nodes with an offset is
+// stable. After an outage, the first nodes to write their offsets may all be wrong. It stops
+// waiting after majorityTimeout.
+func (k *ClockKeeper) setInitially(now time.Time, at, median time.Duration, agreed, nodes int) {
+	if k.firstReviewAt.IsZero() {
+		k.firstReviewAt = now
 	}
-	more := told != k.told
-	k.told = told
-	if (agreed == 0 || more) && now.Sub(k.firstLookAt) < disagreeFor {
-		k.nextAt = now.Add(retryReview)
+	countChanged := nodes != k.lastNodeCount
+	k.lastNodeCount = nodes
+	if (agreed == 0 || countChanged) && now.Sub(k.firstReviewAt) < majorityTimeout {
+		k.nextReview = now.Add(reviewRetryDelay)
 		return
 	}
-	k.nextAt = now.Add(doubtReview)
-	k.set(now, at, middle, agreed)
+	k.nextReview = now.Add(unconfirmedReviewInterval)
+	k.set(now, at, median, agreed)
 }
 
-// lasts notes an offset off the clock's, and reports whether enough looks in a row have found it.
-func (k *ClockKeeper) lasts(offset time.Duration) bool {
-	if k.looks > 0 && (offset-k.candidate).Abs() > agreeWithin {
-		k.looks = 0
+// confirmCandidate records a deviating offset and reports whether enough consecutive reviews have
+// found it.
+func (k *ClockKeeper) confirmCandidate(offset time.Duration) bool {
+	if k.candidateReviews > 0 && (offset-k.candidate).Abs() > agreementTolerance {
+		k.candidateReviews = 0
 	}
 	k.candidate = offset
-	k.looks++
-	return k.looks >= looksToAdjust
+	k.candidateReviews++
+	return k.candidateReviews >= reviewsToAdjust
 }
 
-// set writes the clock.
+// set writes the clock's record.
 func (k *ClockKeeper) set(now time.Time, at, offset time.Duration, agreed int) {
-	k.looks, k.confirmed = 0, 0
+	k.candidateReviews, k.confirmed = 0, 0
 	next := &doorstepv1.UsageClock{
-		OffsetMs: offset.Milliseconds(), FirstWindow: k.Clock.first, SetAtMs: k.Clock.setAt.Milliseconds(), Agreed: int32(agreed),
+		OffsetMs: offset.Milliseconds(), FirstWindow: k.Clock.firstWindow, SetAtMs: k.Clock.setAt.Milliseconds(), Agreed: int32(agreed),
 	}
 	if !k.Clock.known {
 		started := at - now.Sub(k.StartedAt)
@@ -181,23 +183,23 @@
 		next.FirstWindow = int64((started + offset) / k.Clock.Length)
 	}
 	record := port.Record{RecordKey: k.Key, Value: encode(next)}
-	k.busy = true
+	k.requestPending = true
 	k.Queue.Add(task.Commit{
 		Transaction: port.RecordTransaction{
 			Preconditions: []port.Precondition{{RecordKey: k.Key, Revision: k.revision}},
 			Puts:          []port.Record{record},
 		},
 		Done: func(now time.Time, result port.RecordResult) {
-			k.busy = false
+			k.requestPending = false
 			switch result.Status {
 			case port.RecordDone:
 				record.Revision = result.Revision
 				k.OnRecord(record)
 				k.Queue.Log(event.UsageClockSet, "offset_ms", next.OffsetMs, "agreed", agreed, "first_window", next.FirstWindow)
 			case port.RecordConflict:
-				k.OnRecord(firstOf(result, k.Key))
+				k.OnRecord(recordOf(result, k.Key))
 			default:
-				k.nextAt = now.Add(retryReview)
+				k.nextReview = now.Add(reviewRetryDelay)
 			}
 		},
 	})
--- a/internal/version/usage/clock_test.go
+++ b/internal/version/usage/clock_test.go
@@ -6,121 +6,119 @@
 	"time"
 )
 
-// TestClockIsTheMedian: one node's wall clock, even the holder's, decides nothing; requests that
-// began before the clock was known are counted once it is.
+// TestClockIsTheMedian checks that no single node's wall clock decides, not even the holder's, and
+// that requests from before the clock was set are counted.
 func TestClockIsTheMedian(t *testing.T) {
-	b := newBench(1)
-	exact := time.Duration(begunAt.UnixNano())
+	b := newTestBench(1)
+	exact := time.Duration(startTime.UnixNano())
 	b.offsets = []time.Duration{exact + 2*time.Second, exact - 3*time.Millisecond, exact, exact + 3*time.Millisecond, exact - 5*time.Second}
 	b.run(1 * time.Second)
-	b.begin(b.nodes[0], "x", 2)
+	b.countRequests(b.nodes[0], "x", 2)
 	b.run(4100 * time.Millisecond)
-	b.begin(b.nodes[0], "x", 1)
+	b.countRequests(b.nodes[0], "x", 1)
 	b.run(20 * time.Second)
 	if got := b.reportOf(t, 0); !maps.Equal(got, map[string]int64{"x": 2}) {
-		t.Errorf("%v in the first window", got)
+		t.Errorf("first window: %v", got)
 	}
 	if got := b.reportOf(t, 1); !maps.Equal(got, map[string]int64{"x": 1}) {
-		t.Errorf("%v in the second window", got)
+		t.Errorf("second window: %v", got)
 	}
 }
 
-// TestClockFollowsOnlyWhatLasts: seeds 67 and 141 of the simulator. Clocks that jump, be it most
-// of those that are told of at a look, don't move the windows; a time of day that most nodes
-// agree on for long does.
+// TestClockFollowsOnlyWhatLasts checks that clocks that jump temporarily do not move the windows,
+// while an offset that a majority agrees on for long does.
 func TestClockFollowsOnlyWhatLasts(t *testing.T) {
 	const exact, jump = time.Duration(1_000_000 * int64(time.Second)), 2 * time.Second
 	for _, c := range []struct {
 		name string
-		// looks are the offsets that are told of at each look, from the exact one.
-		looks [][]time.Duration
-		// moved is by how much the clock is set anew in the end.
+		// reviews are the offsets at each review, relative to the exact one.
+		reviews [][]time.Duration
+		// moved is the expected adjustment of the clock.
 		moved time.Duration
 	}{
-		{"one of two jumps", [][]time.Duration{{0, jump}, {0, jump}, {0, jump}, {0, jump}}, 0},
-		{"most jump, and back", [][]time.Duration{{0, jump, jump}, {0, jump, jump}, {0, 0, 0}, {0, jump, jump}}, 0},
-		{"all jump, to and fro", [][]time.Duration{{jump, jump}, {-jump, -jump}, {jump, jump}, {-jump, -jump}}, 0},
-		{"a difference too small to matter", [][]time.Duration{{4 * time.Millisecond, 4 * time.Millisecond}, {4 * time.Millisecond, 4 * time.Millisecond},
+		{"one of two clocks jumps", [][]time.Duration{{0, jump}, {0, jump}, {0, jump}, {0, jump}}, 0},
+		{"a majority jumps temporarily", [][]time.Duration{{0, jump, jump}, {0, jump, jump}, {0, 0, 0}, {0, jump, jump}}, 0},
+		{"all clocks jump back and forth", [][]time.Duration{{jump, jump}, {-jump, -jump}, {jump, jump}, {-jump, -jump}}, 0},
+		{"difference below the minimum", [][]time.Duration{{4 * time.Millisecond, 4 * time.Millisecond}, {4 * time.Millisecond, 4 * time.Millisecond},
 			{4 * time.Millisecond, 4 * time.Millisecond}, {4 * time.Millisecond, 4 * time.Millisecond}}, 0},
-		{"more nodes know better than those that set it", [][]time.Duration{{jump, jump, jump, 0}}, jump},
-		{"more nodes know better than those that set it, but more have confirmed it", [][]time.Duration{{0, 0, 0, 0}, {jump, jump, jump}}, 0},
-		{"one node alone", [][]time.Duration{{jump}, {jump}, {jump}, {jump}}, 0},
-		{"most agree for long", [][]time.Duration{{0, jump, jump + time.Millisecond}, {0, jump, jump}, {jump, jump}, {jump, jump}}, jump},
-		{"a drift that lasts", [][]time.Duration{{30 * time.Millisecond, 30 * time.Millisecond}, {31 * time.Millisecond, 31 * time.Millisecond},
+		{"a larger majority than at the start", [][]time.Duration{{jump, jump, jump, 0}}, jump},
+		{"a larger majority than at the start, but smaller than confirmed", [][]time.Duration{{0, 0, 0, 0}, {jump, jump, jump}}, 0},
+		{"a single node", [][]time.Duration{{jump}, {jump}, {jump}, {jump}}, 0},
+		{"a majority agrees for several reviews", [][]time.Duration{{0, jump, jump + time.Millisecond}, {0, jump, jump}, {jump, jump}, {jump, jump}}, jump},
+		{"a persistent drift", [][]time.Duration{{30 * time.Millisecond, 30 * time.Millisecond}, {31 * time.Millisecond, 31 * time.Millisecond},
 			{32 * time.Millisecond, 32 * time.Millisecond}, {33 * time.Millisecond, 33 * time.Millisecond}}, 32 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(1)
-			b.run(settleFor + 2*time.Second)
-			for _, look := range c.looks {
+			b := newTestBench(1)
+			b.run(startupDelay + 2*time.Second)
+			for _, offsets := range c.reviews {
 				b.offsets = nil
-				for _, one := range look {
-					b.offsets = append(b.offsets, exact+one)
+				for _, offset := range offsets {
+					b.offsets = append(b.offsets, exact+offset)
 				}
-				b.run(reviewEvery)
+				b.run(reviewInterval)
 			}
 			if got := b.nodes[0].clock.offset - exact; got != c.moved {
-				t.Errorf("the clock moved by %s, should be %s", got, c.moved)
+				t.Errorf("the clock moved by %s, want %s", got, c.moved)
 			}
 		})
 	}
 }
 
-// TestClockWaitsForAMajority: at first nobody knows whose clock has jumped.
+// TestClockWaitsForAMajority checks that the clock is not initially set from offsets that disagree.
 func TestClockWaitsForAMajority(t *testing.T) {
 	const exact = time.Duration(1_000_000 * int64(time.Second))
-	for _, told := range [][]time.Duration{{exact, exact + 2*time.Second}, {exact + 2*time.Second}} {
-		b := newBench(1)
-		b.offsets = told
-		b.run(settleFor + 3*time.Second)
+	for _, offsets := range [][]time.Duration{{exact, exact + 2*time.Second}, {exact + 2*time.Second}} {
+		b := newTestBench(1)
+		b.offsets = offsets
+		b.run(startupDelay + 3*time.Second)
 		if b.nodes[0].clock.known {
-			t.Fatalf("the clock was set by %v", told)
+			t.Fatalf("the clock was set from offsets %v", offsets)
 		}
 	}
-	b := newBench(1)
+	b := newTestBench(1)
 	b.offsets = []time.Duration{exact, exact + 2*time.Second}
-	b.run(settleFor + 3*time.Second)
+	b.run(startupDelay + 3*time.Second)
 	b.offsets = append(b.offsets, exact+time.Millisecond)
 	b.run(3 * time.Second)
 	if got := b.nodes[0].clock.offset - exact; !b.nodes[0].clock.known || got.Abs() > time.Millisecond {
-		t.Errorf("known %t, off by %s", b.nodes[0].clock.known, got)
+		t.Errorf("clock set: %t, off by %s", b.nodes[0].clock.known, got)
 	}
-	// Without a majority for long, the middle is better than no reports.
-	b = newBench(1)
+	// After majorityTimeout, the median is used without a majority.
+	b = newTestBench(1)
 	b.offsets = []time.Duration{exact, exact + 2*time.Second}
-	b.run(settleFor + disagreeFor + 3*time.Second)
+	b.run(startupDelay + majorityTimeout + 3*time.Second)
 	if !b.nodes[0].clock.known {
-		t.Error("the clock is never set where nodes don't agree")
+		t.Error("the clock was not set although nodes disagreed for longer than the timeout")
 	}
-	// Seed 33 of the simulator: it is put right as soon as some agree.
+	// The clock is corrected as soon as a majority agrees.
 	b.offsets = append(b.offsets, exact)
-	b.run(doubtReview + time.Second)
+	b.run(unconfirmedReviewInterval + time.Second)
 	if got := b.nodes[0].clock.offset - exact; got != 0 {
-		t.Errorf("off by %s although two of three nodes agree", got)
+		t.Errorf("clock off by %s although two of three nodes agree", got)
 	}
 }
 
-// TestClockWaitsForAllThatTell: the store has just come back, and the nodes tell of their clocks one after the other.
-// The first two that did had both jumped (seed 700015 of the simulator): until the clock was set right 25 s later
-// requests were counted into the window before theirs.
+// TestClockWaitsForAllThatTell checks that the clock is not set from the first two offsets after an
+// outage, both of which are wrong, while more nodes write theirs.
 func TestClockWaitsForAllThatTell(t *testing.T) {
 	const exact, jump = time.Duration(1_000_000 * int64(time.Second)), -2 * time.Second
-	b := newBench(1)
+	b := newTestBench(1)
 	b.offsets = []time.Duration{exact + jump, exact + jump}
 	clock := b.nodes[0].clock
 	for i := range 16 {
 		if i > 0 && i <= 4 {
 			b.offsets = append(b.offsets, exact)
 		}
-		b.run(settleFor / 12)
+		b.run(startupDelay / 12)
 		if clock.known && clock.offset != exact {
-			t.Fatalf("the clock is off by %s once %d nodes have told of theirs", clock.offset-exact, len(b.offsets))
+			t.Fatalf("clock off by %s with %d offsets", clock.offset-exact, len(b.offsets))
 		}
 		if i == 0 {
-			b.run(settleFor - settleFor/12)
+			b.run(startupDelay - startupDelay/12)
 		}
 	}
 	if !clock.known {
-		t.Error("the clock is not set")
+		t.Error("the clock was not set")
 	}
 }
--- a/internal/version/usage/counter.go
+++ b/internal/version/usage/counter.go
@@ -15,61 +15,61 @@
 )
 
 const (
-	// writeBehind is how long a count waits for others before it is written: what a node that
-	// dies has counted since is lost.
-	writeBehind = 100 * time.Millisecond
-	// writeEvery is the least time between two writes of one node: 390 nodes make 390 writes a
-	// second at the most.
-	writeEvery = time.Second
-	// writeRetry is the wait after a write that brought nothing.
-	writeRetry = 250 * time.Millisecond
-	// keepFactor, times the lateness of reports, is how long counts are kept that could not be
-	// written: they are of no use after that.
-	keepFactor = 2
-	// pendingAtMost bounds the requests that are kept while the clock is not known.
-	pendingAtMost = 20_000
+	// writeDelay is how long counts are batched before they are written. A node that crashes loses
+	// the counts it has not written.
+	writeDelay = 100 * time.Millisecond
+	// writeInterval is the minimum time between two writes of a node. It bounds the load on the
+	// store.
+	writeInterval = time.Second
+	// writeRetryDelay is the delay after an unsuccessful write.
+	writeRetryDelay = 250 * time.Millisecond
+	// Counts that cannot be written are dropped after retentionFactor times the report delay, when
+	// they are of no more use.
+	retentionFactor = 2
+	// maxPending bounds the number of requests stored while the clock is not set.
+	maxPending = 20_000
 )
 
-// CounterOptions configure a Counter.
+// CounterOptions configures a Counter.
 type CounterOptions struct {
 	Self        string
 	Incarnation uint64
 	Queue       *task.Queue
 	Clock       *Clock
-	// StoreClock returns the reading of the record store's clock at a time, false before its
-	// first answer.
+	// StoreClock returns the reading of the record store's clock at a given time. It returns false
+	// before the store's first answer.
 	StoreClock func(at time.Time) (time.Duration, bool)
 }
 
-// Counter counts one node's requests; it belongs to the node's loop.
+// Counter counts one node's requests. It must only be used from the node's event loop.
 type Counter struct {
 	options CounterOptions
 	windows map[int64]*counts
-	// pending are requests that began while the clock was not known.
-	pending []begin
+	// pending holds requests that began while the clock was not set.
+	pending []pendingRequest
 	dropped int
-	// nextAt is when the node may write again, retryAt when it may after a write that brought
-	// nothing.
-	nextAt, retryAt time.Time
+	// nextWrite is the earliest time of the next write. retryAt is the earliest time after an
+	// unsuccessful write.
+	nextWrite, retryAt time.Time
 }
 
-// begin is a request that began to run.
-type begin struct {
+// pendingRequest is a request that is not assigned to a window yet.
+type pendingRequest struct {
 	at     time.Time
 	tenant string
 }
 
-// counts are those of one window.
+// counts holds the counts of one window.
 type counts struct {
 	requests map[string]int64
-	// total and written are how many requests were counted, and how many of them are on record.
+	// total is the number of requests counted, written the number stored.
 	total, written int64
 	revision       int64
 	writing        bool
 	changedAt      time.Time
 }
 
-// NewCounter returns a counter that has counted nothing.
+// NewCounter returns an empty Counter.
 func NewCounter(options CounterOptions) *Counter {
 	return &Counter{options: options, windows: map[int64]*counts{}}
 }
@@ -81,113 +81,113 @@
 	}
 	at, known := c.options.StoreClock(beganAt)
 	if !known || !c.options.Clock.known {
-		c.keep(begin{beganAt, tenant})
+		c.addPending(pendingRequest{beganAt, tenant})
 		return
 	}
 	window := c.options.Clock.window(at)
-	one := c.windows[window]
-	if one == nil {
-		one = &counts{requests: map[string]int64{}}
-		c.windows[window] = one
+	entry := c.windows[window]
+	if entry == nil {
+		entry = &counts{requests: map[string]int64{}}
+		c.windows[window] = entry
 	}
-	if one.total == one.written {
-		one.changedAt = now
+	if entry.total == entry.written {
+		entry.changedAt = now
 	}
-	one.requests[tenant]++
-	one.total++
+	entry.requests[tenant]++
+	entry.total++
 }
 
-// keep keeps a request until the clock is known.
-func (c *Counter) keep(one begin) {
-	if len(c.pending) >= pendingAtMost {
+// addPending stores a request until the clock is set.
+func (c *Counter) addPending(request pendingRequest) {
+	if len(c.pending) >= maxPending {
 		c.dropped++
 		return
 	}
-	c.pending = append(c.pending, one)
+	c.pending = append(c.pending, request)
 }
 
-// Unwritten returns how many requests are counted and not on record.
+// Unwritten returns the number of requests that were counted but not stored.
 func (c *Counter) Unwritten() int64 {
 	unwritten := int64(len(c.pending))
-	for _, one := range c.windows {
-		unwritten += one.total - one.written
+	for _, entry := range c.windows {
+		unwritten += entry.total - entry.written
 	}
 	return unwritten
 }
 
-// Tick writes what is due. With hurry set everything is due, as the node stops.
-func (c *Counter) Tick(now time.Time, hurry bool) {
+// Tick writes counts when due. If flush is set, it writes all counts, because the node is stopping.
+func (c *Counter) Tick(now time.Time, flush bool) {
 	at, known := c.options.StoreClock(now)
 	if !known || !c.options.Clock.known {
 		return
 	}
 	c.countPending(now)
 	for _, window := range slices.Sorted(maps.Keys(c.windows)) {
-		one := c.windows[window]
-		if at > c.options.Clock.end(window)+keepFactor*c.options.Clock.Late {
-			c.forget(window, one)
+		entry := c.windows[window]
+		if at > c.options.Clock.end(window)+retentionFactor*c.options.Clock.Late {
+			c.discard(window, entry)
 			continue
 		}
-		due := hurry || now.Sub(one.changedAt) >= writeBehind && !now.Before(c.nextAt)
-		if one.total > one.written && !one.writing && due && !now.Before(c.retryAt) {
-			c.nextAt = now.Add(writeEvery)
-			c.write(window, one)
+		due := flush || now.Sub(entry.changedAt) >= writeDelay && !now.Before(c.nextWrite)
+		if entry.total > entry.written && !entry.writing && due && !now.Before(c.retryAt) {
+			c.nextWrite = now.Add(writeInterval)
+			c.write(window, entry)
 		}
 	}
 }
 
-// countPending counts what began before the clock was known.
+// countPending counts the requests from before the clock was set.
 func (c *Counter) countPending(now time.Time) {
 	pending := c.pending
 	c.pending = nil
-	for _, one := range pending {
-		c.Note(now, one.at, one.tenant)
+	for _, request := range pending {
+		c.Note(now, request.at, request.tenant)
 	}
 	if c.dropped > 0 {
-		c.options.Queue.Log(event.UsageLost, "requests", c.dropped, "reason", "too many before the clock was known")
+		c.options.Queue.Log(event.UsageLost, "requests", c.dropped, "reason", "too many requests before the usage clock was set")
 		c.dropped = 0
 	}
 }
 
-func (c *Counter) forget(window int64, one *counts) {
-	if one.total > one.written {
-		c.options.Queue.Log(event.UsageLost, "window", window, "requests", one.total-one.written, "reason", "the store could not be reached in time")
+func (c *Counter) discard(window int64, entry *counts) {
+	if entry.total > entry.written {
+		c.options.Queue.Log(event.UsageLost, "window", window, "requests", entry.total-entry.written, "reason", "counts could not be written in time")
 	}
 	delete(c.windows, window)
 }
 
-// key names the row of this life of the node for a window.
+// key returns the key of this incarnation's record for a window.
 func (c *Counter) key(window int64) port.RecordKey {
 	partition := countPartition(int(xxhash.Sum64String(c.options.Self) % countPartitions))
 	return port.RecordKey{Table: Table, Partition: partition, Key: fmt.Sprintf("%s%s/%016x", windowPrefix(window), c.options.Self, c.options.Incarnation)}
 }
 
-// write writes a window's counts. The condition keeps a write that takes effect late from
-// undoing a later one.
-func (c *Counter) write(window int64, one *counts) {
-	key, total := c.key(window), one.total
-	one.writing = true
+// write writes a window's counts. The precondition prevents a delayed write from overwriting a
+// later one.
+func (c *Counter) write(window int64, entry *counts) {
+	key, total := c.key(window), entry.total
+	entry.writing = true
 	c.options.Queue.Add(task.Commit{
 		Transaction: port.RecordTransaction{
-			Preconditions: []port.Precondition{{RecordKey: key, Revision: one.revision}},
-			Puts:          []port.Record{{RecordKey: key, Value: encode(&doorstepv1.UsageCounts{Requests: one.requests})}},
+			Preconditions: []port.Precondition{{RecordKey: key, Revision: entry.revision}},
+			Puts:          []port.Record{{RecordKey: key, Value: encode(&doorstepv1.UsageCounts{Requests: entry.requests})}},
 		},
 		Done: func(now time.Time, result port.RecordResult) {
-			one.writing = false
+			entry.writing = false
 			switch result.Status {
 			case port.RecordDone:
-				one.written, one.revision = total, result.Revision
+				entry.written, entry.revision = total, result.Revision
 			case port.RecordConflict:
-				// An earlier write of this node took effect, though its answer was lost.
-				one.revision = revisionOf(result, key)
+				// An earlier write of this node succeeded, but its answer was lost.
+				entry.revision = revisionOf(result, key)
 			default:
-				c.retryAt = now.Add(writeRetry)
+				c.retryAt = now.Add(writeRetryDelay)
 			}
 		},
 	})
 }
 
-// revisionOf returns the revision of a record in the answer to a conflict.
+// revisionOf returns the revision of a record in the result of a conflict, or 0 if it is missing.
 func revisionOf(result port.RecordResult, key port.RecordKey) int64 {
 	for _, record := range result.Records {
 		if record.RecordKey == key {
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -16,139 +16,138 @@
 )
 
 const (
-	// gatherPart is the part of a report's lateness that passes before counts are added up:
-	// nodes that can't reach the store deliver them until then, and the rest is for the report
-	// itself.
-	gatherPart = 0.55
-	// clockHeardWithin is how long after the clock was first set a holder waits before it adds
-	// counts up: other nodes hear of the clock by their watches, and only then write what they
-	// counted before.
-	clockHeardWithin = 3 * time.Second
-	// retryPause and mostRetryPause bound the pause after a call that brought nothing.
-	retryPause     = 100 * time.Millisecond
-	mostRetryPause = time.Second
-	// sendLimit bounds a call to the platform.
-	sendLimit = 900 * time.Millisecond
-	// reportsKept is how many reports stay in the store.
-	reportsKept = 40
-	// leaseTarget is the one matter that the lease's holder acts on.
+	// collectFraction is the fraction of the report delay that passes before counts are added up.
+	// Nodes that cannot reach the store have until then to write theirs.
+	collectFraction = 0.55
+	// clockPropagationDelay is how long after the clock was first set the holder waits before it
+	// adds up counts. Nodes write their earlier counts only once they have seen the clock.
+	clockPropagationDelay = 3 * time.Second
+	// The retry delay starts at retryDelay and doubles up to maxRetryDelay.
+	retryDelay    = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// sendTimeout bounds a call to the platform.
+	sendTimeout = 900 * time.Millisecond
+	// retainedReports is the number of reports retained in the store.
+	retainedReports = 40
+	// leaseTarget is the lease's only target.
 	leaseTarget = "usage"
 )
 
-// ReporterOptions configure a Reporter.
+// ReporterOptions configures a Reporter.
 type ReporterOptions struct {
 	Self  string
 	Queue *task.Queue
 	Lease *recordlease.Lease
 	Clock *Clock
-	// StoreClock returns the reading of the record store's clock at a time, false before its
-	// first answer.
+	// StoreClock returns the reading of the record store's clock at a given time. It returns false
+	// before the store's first answer.
 	StoreClock func(at time.Time) (time.Duration, bool)
 }
 
-// Reporter reports windows while its node holds the lease; it belongs to the node's loop.
+// Reporter reports windows while its node holds the lease. It must only be used from the node's
+// event loop.
 type Reporter struct {
 	options ReporterOptions
-	// fence is that of the tenure in which next was read.
+	// fence is the fence of the lease under which next was read.
 	fence int64
-	// next is the window to be reported next.
-	next   int64
-	loaded bool
-	busy   bool
-	nextAt time.Time
-	pause  time.Duration
-	report *report
-	// Reported counts the windows that the platform took from this node, Late those of them
-	// that were overdue.
+	// next is the next window to report.
+	next           int64
+	loaded         bool
+	requestPending bool
+	nextTick       time.Time
+	retryDelay     time.Duration
+	report         *report
+	// Reported is the number of windows that the platform accepted from this node. Late is the
+	// number of those reported after the deadline.
 	Reported, Late int
 }
 
-// report is that of the window at hand.
+// report is the report of one window.
 type report struct {
 	window   int64
 	requests map[string]int64
-	// rows are the counts that it is made of, to be deleted once it is accepted.
+	// rows holds the keys of the counts included, which are deleted once the report is accepted.
 	rows []port.RecordKey
-	// parts is how many partitions of counts were read, readAt when the first was asked.
-	parts    int
-	fixed    bool
-	accepted bool
-	revision int64
+	// partitionsRead is the number of count partitions that were read.
+	partitionsRead int
+	persisted      bool
+	accepted       bool
+	revision       int64
 }
 
-// NewReporter returns a reporter that knows of no report.
+// NewReporter returns a Reporter that has not read any reports.
 func NewReporter(options ReporterOptions) *Reporter {
-	return &Reporter{options: options, pause: retryPause}
+	return &Reporter{options: options, retryDelay: retryDelay}
 }
 
-// Tick takes the next step of the report at hand.
+// Tick performs the next step of the current report.
 func (r *Reporter) Tick(now time.Time) {
 	lease := r.options.Lease
 	at, known := r.options.StoreClock(now)
-	if !lease.Held(now) || !known || !r.options.Clock.heard(at) {
+	if !lease.Held(now) || !known || !r.options.Clock.propagated(at) {
 		return
 	}
 	if lease.Fence() != r.fence {
-		*r = Reporter{options: r.options, fence: lease.Fence(), pause: retryPause, Reported: r.Reported, Late: r.Late}
+		*r = Reporter{options: r.options, fence: lease.Fence(), retryDelay: retryDelay, Reported: r.Reported, Late: r.Late}
 	}
-	if r.busy || now.Before(r.nextAt) {
+	if r.requestPending || now.Before(r.nextTick) {
 		return
 	}
 	switch {
 	case !r.loaded:
 		r.load(r.fence)
 	case r.report == nil:
-		if at >= r.options.Clock.end(r.next)+r.gatherAfter() {
+		if at >= r.options.Clock.end(r.next)+r.collectDelay() {
 			r.report = &report{window: r.next, requests: map[string]int64{}}
-			r.gather(r.fence, "")
+			r.collectCounts(r.fence, "")
 		}
-	case !r.report.fixed && r.report.parts < countPartitions:
-		r.gather(r.fence, "")
-	case !r.report.fixed:
-		r.fix(r.fence)
+	case !r.report.persisted && r.report.partitionsRead < countPartitions:
+		r.collectCounts(r.fence, "")
+	case !r.report.persisted:
+		r.persist(r.fence)
 	case !r.report.accepted:
 		r.send(now)
 	default:
-		r.settle(r.fence)
+		r.markAccepted(r.fence)
 	}
 }
 
-func (r *Reporter) gatherAfter() time.Duration {
-	return time.Duration(gatherPart * float64(r.options.Clock.Late))
+func (r *Reporter) collectDelay() time.Duration {
+	return time.Duration(collectFraction * float64(r.options.Clock.Late))
 }
 
-// do marks the reporter busy until the task's outcome comes, which is passed over if another
-// tenure has begun meanwhile.
-func (r *Reporter) do(fence int64, done func(now time.Time, result port.RecordResult)) func(now time.Time, result port.RecordResult) {
-	r.busy = true
+// onResult marks the reporter as waiting and returns a callback for the task's result. The result
+// is ignored if the lease was acquired anew in the meantime.
+func (r *Reporter) onResult(fence int64, done func(now time.Time, result port.RecordResult)) func(now time.Time, result port.RecordResult) {
+	r.requestPending = true
 	return func(now time.Time, result port.RecordResult) {
 		if r.fence != fence {
 			return
 		}
-		r.busy = false
+		r.requestPending = false
 		if result.Status != port.RecordDone && result.Status != port.RecordConflict {
-			r.back(now)
+			r.backOff(now)
 			return
 		}
-		r.pause = retryPause
+		r.retryDelay = retryDelay
 		done(now, result)
 		r.Tick(now)
 	}
 }
 
-// back waits after a call that brought nothing.
-func (r *Reporter) back(now time.Time) {
-	r.nextAt = now.Add(r.pause)
-	r.pause = min(2*r.pause, mostRetryPause)
+// backOff delays the next step after an unsuccessful call.
+func (r *Reporter) backOff(now time.Time) {
+	r.nextTick = now.Add(r.retryDelay)
+	r.retryDelay = min(2*r.retryDelay, maxRetryDelay)
 }
 
-// load reads which windows were reported.
+// load reads the stored reports.
 func (r *Reporter) load(fence int64) {
 	r.options.Queue.Add(task.Range{
 		Query: port.RecordRange{Table: Table, Partition: ReportPartition},
-		Done: r.do(fence, func(_ time.Time, result port.RecordResult) {
+		Done: r.onResult(fence, func(_ time.Time, result port.RecordResult) {
 			r.loaded = true
-			r.next = r.options.Clock.first
+			r.next = r.options.Clock.firstWindow
 			for _, record := range result.Records {
 				r.loadReport(record)
 			}
@@ -156,49 +155,49 @@
 	})
 }
 
-// loadReport takes a report that stands in the store: one that was not accepted is sent again.
+// loadReport handles a stored report. One that was not accepted is sent again.
 func (r *Reporter) loadReport(record port.Record) {
 	window, err := strconv.ParseInt(record.Key, 10, 64)
 	if err != nil || window < r.next {
 		return
 	}
 	r.next = window + 1
-	if held := r.decodeReport(record); held != nil && !held.Accepted {
+	if stored := r.decodeReport(record); stored != nil && !stored.Accepted {
 		r.next = window
 	}
 }
 
-// decodeReport returns a report that stands in the store, nil if it can't be read: what was sent
-// of it is not known then, so that its window is passed over.
+// decodeReport returns the stored report, or nil if it cannot be decoded. Such a window is skipped,
+// because it is unknown what was sent for it.
 func (r *Reporter) decodeReport(record port.Record) *doorstepv1.UsageReport {
-	held := &doorstepv1.UsageReport{}
-	if err := proto.Unmarshal(record.Value, held); err != nil {
+	stored := &doorstepv1.UsageReport{}
+	if err := proto.Unmarshal(record.Value, stored); err != nil {
 		r.options.Queue.Log(event.RecordUnreadable, "table", record.Table, "key", record.Key, "error", err.Error())
 		return nil
 	}
-	return held
+	return stored
 }
 
-// gather adds the counts of one partition up, from a key on.
-func (r *Reporter) gather(fence int64, from string) {
-	one := r.report
-	prefix := windowPrefix(one.window)
+// collectCounts adds up the counts of one partition, starting at a key.
+func (r *Reporter) collectCounts(fence int64, from string) {
+	current := r.report
+	prefix := windowPrefix(current.window)
 	r.options.Queue.Add(task.Range{
-		Query: port.RecordRange{Table: Table, Partition: countPartition(one.parts), From: max(prefix, from), To: prefix + "~"},
-		Done: r.do(fence, func(_ time.Time, result port.RecordResult) {
+		Query: port.RecordRange{Table: Table, Partition: countPartition(current.partitionsRead), From: max(prefix, from), To: prefix + "~"},
+		Done: r.onResult(fence, func(_ time.Time, result port.RecordResult) {
 			for _, record := range result.Records {
-				r.add(record)
+				r.addCounts(record)
 			}
 			if result.More && len(result.Records) > 0 {
-				r.gather(fence, result.Records[len(result.Records)-1].Key+"\x00")
+				r.collectCounts(fence, result.Records[len(result.Records)-1].Key+"\x00")
 				return
 			}
-			one.parts++
+			current.partitionsRead++
 		}),
 	})
 }
 
-func (r *Reporter) add(record port.Record) {
+func (r *Reporter) addCounts(record port.Record) {
 	counted := &doorstepv1.UsageCounts{}
 	if err := proto.Unmarshal(record.Value, counted); err != nil {
 		r.options.Queue.Log(event.RecordUnreadable, "table", record.Table, "key", record.Key, "error", err.Error())
@@ -210,33 +209,33 @@
 	}
 }
 
-// fix writes the sum, unless one stands already: that one is sent then.
-func (r *Reporter) fix(fence int64) {
-	one, key := r.report, reportKey(r.report.window)
+// persist stores the sum. If the window already has a stored report, that one is used instead.
+func (r *Reporter) persist(fence int64) {
+	current, key := r.report, reportKey(r.report.window)
 	r.options.Queue.Add(task.Commit{
 		Transaction: port.RecordTransaction{
 			Preconditions: []port.Precondition{{RecordKey: key}},
-			Puts:          []port.Record{{RecordKey: key, Value: encode(&doorstepv1.UsageReport{Requests: one.requests})}},
+			Puts:          []port.Record{{RecordKey: key, Value: encode(&doorstepv1.UsageReport{Requests: current.requests})}},
 		},
-		Done: r.do(fence, func(_ time.Time, result port.RecordResult) {
-			one.revision = result.Revision
+		Done: r.onResult(fence, func(_ time.Time, result port.RecordResult) {
+			current.revision = result.Revision
 			if result.Status == port.RecordConflict {
-				one.revision = revisionOf(result, key)
-				held := r.decodeReport(firstOf(result, key))
-				if held == nil {
-					r.report, r.next = nil, one.window+1
+				current.revision = revisionOf(result, key)
+				stored := r.decodeReport(recordOf(result, key))
+				if stored == nil {
+					r.report, r.next = nil, current.window+1
 					return
 				}
-				one.requests, one.accepted = held.Requests, held.Accepted
+				current.requests, current.accepted = stored.Requests, stored.Accepted
 			}
-			one.fixed = true
-			r.options.Queue.Log(event.UsageGathered, "window", one.window, "tenants", len(one.requests), "requests", total(one.requests),
-				"rows", len(one.rows), "stood", result.Status == port.RecordConflict)
+			current.persisted = true
+			r.options.Queue.Log(event.UsageGathered, "window", current.window, "tenants", len(current.requests), "requests", total(current.requests),
+				"rows", len(current.rows), "stood", result.Status == port.RecordConflict)
 		}),
 	})
 }
 
-func firstOf(result port.RecordResult, key port.RecordKey) port.Record {
+func recordOf(result port.RecordResult, key port.RecordKey) port.Record {
 	for _, record := range result.Records {
 		if record.RecordKey == key {
 			return record
@@ -253,34 +252,34 @@
 	return sum
 }
 
-// send reports the window, under the lease's fence.
+// send sends the report under the lease's fence.
 func (r *Reporter) send(now time.Time) {
 	lease := r.options.Lease
 	if !lease.Act(now, leaseTarget) {
 		return
 	}
-	one, fence := r.report, r.fence
-	r.busy = true
+	current, fence := r.report, r.fence
+	r.requestPending = true
 	r.options.Queue.Add(task.ReportUsage{
-		Report: port.UsageReport{Window: one.window, Requests: maps.Clone(one.requests), Holder: r.options.Self, Fence: fence},
-		Limit:  min(lease.Left(now), sendLimit),
+		Report: port.UsageReport{Window: current.window, Requests: maps.Clone(current.requests), Holder: r.options.Self, Fence: fence},
+		Limit:  min(lease.Left(now), sendTimeout),
 		Done: func(now time.Time, status port.DutyStatus) {
 			if r.fence == fence {
-				r.busy = false
-				r.onSent(now, one, status)
+				r.requestPending = false
+				r.onSent(now, current, status)
 			}
 		},
 	})
 }
 
-func (r *Reporter) onSent(now time.Time, one *report, status port.DutyStatus) {
+func (r *Reporter) onSent(now time.Time, sent *report, status port.DutyStatus) {
 	at, _ := r.options.StoreClock(now)
-	late := at > r.options.Clock.end(one.window)+r.options.Clock.Late
-	r.options.Queue.Log(event.UsageReported, "window", one.window, "requests", total(one.requests), "fence", r.fence,
+	late := at > r.options.Clock.end(sent.window)+r.options.Clock.Late
+	r.options.Queue.Log(event.UsageReported, "window", sent.window, "requests", total(sent.requests), "fence", r.fence,
 		"status", status.String(), "late", late)
 	switch status {
 	case port.DutyDone:
-		one.accepted = true
+		sent.accepted = true
 		r.Reported++
 		if late {
 			r.Late++
@@ -289,40 +288,41 @@
 	case port.DutyFenced:
 		r.options.Lease.Fenced(r.fence)
 	case port.DutyUnknown, port.DutyRefused:
-		r.back(now)
+		r.backOff(now)
 	}
 }
 
-// settle notes that the platform took the report, drops the oldest one, and goes on with the
-// next window. The counts are deleted beside it: rows that stay behind are never read again.
-func (r *Reporter) settle(fence int64) {
-	one, key := r.report, reportKey(r.report.window)
+// markAccepted records that the platform accepted the report, deletes the oldest report, and moves
+// on to the next window. The counts are deleted separately, since remaining ones are never read
+// again.
+func (r *Reporter) markAccepted(fence int64) {
+	current, key := r.report, reportKey(r.report.window)
 	r.options.Queue.Add(task.Commit{
 		Transaction: port.RecordTransaction{
-			Preconditions: []port.Precondition{{RecordKey: key, Revision: one.revision}},
-			Puts:          []port.Record{{RecordKey: key, Value: encode(&doorstepv1.UsageReport{Requests: one.requests, Accepted: true})}},
-			Deletes:       []port.RecordKey{reportKey(one.window - reportsKept)},
+			Preconditions: []port.Precondition{{RecordKey: key, Revision: current.revision}},
+			Puts:          []port.Record{{RecordKey: key, Value: encode(&doorstepv1.UsageReport{Requests: current.requests, Accepted: true})}},
+			Deletes:       []port.RecordKey{reportKey(current.window - retainedReports)},
 		},
-		Done: r.do(fence, func(_ time.Time, _ port.RecordResult) {
-			// After a conflict an earlier try stands.
-			r.collect(one)
+		Done: r.onResult(fence, func(_ time.Time, _ port.RecordResult) {
+			// A conflict means that an earlier attempt succeeded.
+			r.deleteCounts(current)
 			r.report = nil
-			r.next = one.window + 1
+			r.next = current.window + 1
 		}),
 	})
 }
 
-// deletesAtOnce bounds the entries of one transaction.
-const deletesAtOnce = 90
+// maxDeletes bounds the number of deletes per transaction.
+const maxDeletes = 90
 
-// collect deletes the counts of a window that is done.
-func (r *Reporter) collect(one *report) {
+// deleteCounts deletes the counts of an accepted report.
+func (r *Reporter) deleteCounts(accepted *report) {
 	byPartition := map[string][]port.RecordKey{}
-	for _, key := range one.rows {
+	for _, key := range accepted.rows {
 		byPartition[key.Partition] = append(byPartition[key.Partition], key)
 	}
 	for _, partition := range slices.Sorted(maps.Keys(byPartition)) {
-		for keys := range slices.Chunk(byPartition[partition], deletesAtOnce) {
+		for keys := range slices.Chunk(byPartition[partition], maxDeletes) {
 			r.options.Queue.Add(task.Commit{Transaction: port.RecordTransaction{Deletes: keys}, Done: func(time.Time, port.RecordResult) {}})
 		}
 	}
--- a/internal/version/usage/usage.go
+++ b/internal/version/usage/usage.go
@@ -1,13 +1,14 @@
-// Package usage counts the requests of each tenant that begin to run, by windows of the wall
-// clock, and reports each window to the platform.
+// Package usage counts the requests of each tenant in wall-clock windows and reports each window to
+// the platform.
 //
-// Every node writes what it counted into rows of its own, as absolute counts, so that repeats
-// and lost answers change nothing. The holder of a lease adds the rows of a window up once the
-// window is some time past, fixes the sum in the store under a condition, and sends that sum and
-// no other ever after: whichever node holds the lease, a window has one report.
+// Each node writes its counts to its own records as absolute numbers, so that repeated writes and
+// lost answers have no effect. Some time after the end of a window, the lease holder adds up the
+// records of the window, stores the sum under a precondition, and from then on sends only that sum.
+// Each window therefore has exactly one report, regardless of which node holds the lease.
 //
-// Nodes' wall clocks differ and may jump, so windows go by the record store's steady clock and
-// one offset to the wall clock, which the holder takes from the median of all nodes' clocks.
+// The nodes' wall clocks differ and may jump. Windows are therefore based on the record store's
+// monotonic clock and a shared offset to the wall clock, which the holder determines as the median
+// of all nodes' clocks.
 package usage
 
 import (
@@ -23,35 +24,36 @@
 const (
 	// Table holds the counts and reports.
 	Table = "usage"
-	// ReportPartition holds the reports, by the windows' numbers; countPartitions is over how many others the counts
-	// are spread: the store bounds the writes of one partition.
+	// ReportPartition holds the reports by window number. The counts are spread over
+	// countPartitions further partitions, because the store limits the write rate per partition.
 	ReportPartition = "reports"
 	countPartitions = 4
 )
 
-// Windows are the spans of the wall clock that are reported.
+// Windows configures the reported time windows.
 type Windows struct {
-	// Length is a window's; window k begins k lengths after the start of 1970.
+	// Length is the length of a window. Window k begins k lengths after the Unix epoch.
 	Length time.Duration
-	// Late is how long after its end a window's report is due.
+	// Late is how long after the end of a window its report is due.
 	Late time.Duration
 }
 
-// Clock maps the record store's steady clock to windows. Its zero value knows nothing.
+// Clock maps the record store's monotonic clock to windows. The zero value is a clock that is not
+// set.
 type Clock struct {
 	Windows
 	known bool
-	// offset is the wall clock's reading less the store's.
+	// offset is the difference between the wall clock and the store's clock.
 	offset time.Duration
-	// first is the first window that is reported.
-	first int64
+	// firstWindow is the first window that is reported.
+	firstWindow int64
 	// setAt is when the clock was first set, by the store's clock.
 	setAt time.Duration
-	// agreed is how many nodes agreed on the offset.
+	// agreed is the number of nodes that agreed on the offset.
 	agreed int
 }
 
-// Set takes the clock's record.
+// Set applies the clock's record.
 func (c *Clock) Set(record port.Record) error {
 	decoded := &doorstepv1.UsageClock{}
 	if err := proto.Unmarshal(record.Value, decoded); err != nil {
@@ -59,22 +61,25 @@
 	}
 	c.known = !record.Deleted
 	c.offset = time.Duration(decoded.OffsetMs) * time.Millisecond
-	c.first = decoded.FirstWindow
+	c.firstWindow = decoded.FirstWindow
 	c.setAt = time.Duration(decoded.SetAtMs) * time.Millisecond
 	c.agreed = int(decoded.Agreed)
 	return nil
 }
 
-// heard reports whether all nodes have heard of the clock by a reading of the store's.
-func (c *Clock) heard(at time.Duration) bool { return c.known && at >= c.setAt+clockHeardWithin }
+// propagated reports whether all nodes should have seen the clock by the given reading of the
+// store's clock.
+func (c *Clock) propagated(at time.Duration) bool {
+	return c.known && at >= c.setAt+clockPropagationDelay
+}
 
-// window returns the window that a reading of the store's clock falls into.
+// window returns the window that contains the given reading of the store's clock.
 func (c *Clock) window(at time.Duration) int64 { return int64((at + c.offset) / c.Length) }
 
-// end returns the reading of the store's clock at which a window ends.
+// end returns the reading of the store's clock at the end of a window.
 func (c *Clock) end(window int64) time.Duration { return time.Duration(window+1)*c.Length - c.offset }
 
-// windowPrefix begins the keys of a window's counts.
+// windowPrefix returns the key prefix of a window's counts.
 func windowPrefix(window int64) string { return fmt.Sprintf("%012d/", window) }
 
 func countPartition(number int) string { return fmt.Sprintf("counts-%d", number) }
@@ -83,11 +88,11 @@
 	return port.RecordKey{Table: Table, Partition: ReportPartition, Key: fmt.Sprintf("%012d", window)}
 }
 
-// encode encodes a document that can't fail to.
+// encode encodes a message and panics if that fails.
 func encode(message proto.Message) []byte {
 	value, err := proto.Marshal(message)
 	if err != nil {
-		panic("a record of use must encode: " + err.Error())
+		panic("cannot encode usage record: " + err.Error())
 	}
 	return value
 }
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -12,41 +12,39 @@
 	"github.com/doorstep/doorstep/internal/version/recordlease"
 )
 
-// begunAt is when benches begin: at the start of a window.
-var begunAt = time.Unix(1_000_000, 0)
+// startTime is the start of each test, at the beginning of a window.
+var startTime = time.Unix(1_000_000, 0)
 
-const tickEvery = 25 * time.Millisecond
+const tickInterval = 25 * time.Millisecond
 
-// bench drives the nodes of one deployment, without time between a call and its answer.
-type bench struct {
+// testBench runs the nodes of one deployment. Calls are answered immediately.
+type testBench struct {
 	now     time.Time
 	records *model.Records
-	nodes   []*benchNode
-	// offsets are the wall clocks' of the nodes that tell them.
+	nodes   []*testNode
+	// offsets holds the offsets of the nodes' wall clocks.
 	offsets []time.Duration
-	// reports are the calls that the platform took, in their order.
+	// reports holds the reports that the platform accepted, in order.
 	reports []port.UsageReport
 	status  func(report port.UsageReport) port.DutyStatus
 }
 
-// benchNode is one node.
-type benchNode struct {
+type testNode struct {
 	queue    *task.Queue
 	clock    *Clock
 	lease    *recordlease.Lease
 	keeper   *ClockKeeper
 	counter  *Counter
 	reporter *Reporter
-	dead     bool
-	// answer, unless nil, answers transactions in the store's place; those that it does not
-	// take go to the store.
+	stopped  bool
+	// answer, if set, intercepts transactions. Those that it does not handle go to the store.
 	answer func(t task.Commit) (port.RecordResult, bool)
 }
 
 var clockKey = port.RecordKey{Table: port.SharedTable, Partition: "leases", Key: "usage-clock"}
 
-func newBench(count int) *bench {
-	b := &bench{now: begunAt, offsets: []time.Duration{time.Duration(begunAt.UnixNano()), time.Duration(begunAt.UnixNano())}}
+func newTestBench(count int) *testBench {
+	b := &testBench{now: startTime, offsets: []time.Duration{time.Duration(startTime.UnixNano()), time.Duration(startTime.UnixNano())}}
 	b.records = model.NewRecords(b.now, model.RecordsOptions{})
 	for i := range count {
 		b.start(string(rune('a'+i)), uint64(i+1))
@@ -54,11 +52,10 @@
 	return b
 }
 
-func (b *bench) storeClock(at time.Time) (time.Duration, bool) { return at.Sub(begunAt), true }
+func (b *testBench) storeClock(at time.Time) (time.Duration, bool) { return at.Sub(startTime), true }
 
-// start starts a node.
-func (b *bench) start(name string, incarnation uint64) *benchNode {
-	n := &benchNode{queue: &task.Queue{}, clock: &Clock{Windows: Windows{Length: 5 * time.Second, Late: 10 * time.Second}}}
+func (b *testBench) start(name string, incarnation uint64) *testNode {
+	n := &testNode{queue: &task.Queue{}, clock: &Clock{Windows: Windows{Length: 5 * time.Second, Late: 10 * time.Second}}}
 	n.lease = recordlease.New(recordlease.Options{
 		Key: port.RecordKey{Table: port.SharedTable, Partition: "leases", Key: "usage"}, Holder: name, Incarnation: incarnation, Queue: n.queue,
 		Cadence: recordlease.Unhurried, Fenced: true, Pause: 3 * time.Second, StartedAt: b.now.Add(-time.Minute),
@@ -77,17 +74,17 @@
 	return n
 }
 
-func (b *bench) run(length time.Duration) {
-	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(tickEvery) {
+func (b *testBench) run(length time.Duration) {
+	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(tickInterval) {
 		for _, n := range b.nodes {
-			if !n.dead {
+			if !n.stopped {
 				b.tick(n)
 			}
 		}
 	}
 }
 
-func (b *bench) tick(n *benchNode) {
+func (b *testBench) tick(n *testNode) {
 	for _, key := range []port.RecordKey{clockKey, {Table: port.SharedTable, Partition: "leases", Key: "usage"}} {
 		found := b.records.Range(b.now, port.RecordRange{Table: key.Table, Partition: key.Partition, From: key.Key, To: key.Key + "\x00"})
 		for _, record := range found.Records {
@@ -104,12 +101,12 @@
 	n.reporter.Tick(b.now)
 	for tasks := n.queue.Take(); len(tasks) > 0; tasks = n.queue.Take() {
 		for _, one := range tasks {
-			b.carryOut(n, one)
+			b.execute(n, one)
 		}
 	}
 }
 
-func (b *bench) carryOut(n *benchNode, one task.Task) {
+func (b *testBench) execute(n *testNode, one task.Task) {
 	switch t := one.(type) {
 	case task.Commit:
 		if n.answer != nil {
@@ -137,8 +134,8 @@
 	}
 }
 
-// answerNodes tells the nodes' clocks, one by one.
-func (b *bench) answerNodes(n *benchNode, t task.Range) {
+// answerNodes returns one record per offset.
+func (b *testBench) answerNodes(n *testNode, t task.Range) {
 	next := 0
 	n.keeper.OffsetOf = func(port.Record) (time.Duration, bool) {
 		next++
@@ -147,24 +144,24 @@
 	t.Done(b.now, port.RecordResult{Status: port.RecordDone, Records: make([]port.Record, len(b.offsets))})
 }
 
-// begin counts requests of a tenant at a node.
-func (b *bench) begin(n *benchNode, tenant string, count int) {
+// countRequests counts requests of a tenant at a node.
+func (b *testBench) countRequests(n *testNode, tenant string, count int) {
 	for range count {
 		n.counter.Note(b.now, b.now, tenant)
 	}
 }
 
-// reportOf returns what was reported for the window at a number of windows after the first.
-func (b *bench) reportOf(t *testing.T, number int64) map[string]int64 {
+// reportOf returns the reported counts of a window, numbered from the first one.
+func (b *testBench) reportOf(t *testing.T, number int64) map[string]int64 {
 	t.Helper()
-	window := begunAt.Unix()/5 + number
+	window := startTime.Unix()/5 + number
 	var found map[string]int64
 	for _, one := range b.reports {
 		if one.Window != window {
 			continue
 		}
 		if found != nil && !maps.Equal(found, one.Requests) {
-			t.Errorf("window %d was reported as %v and as %v", number, found, one.Requests)
+			t.Errorf("window %d reported twice with different counts: %v and %v", number, found, one.Requests)
 		}
 		found = one.Requests
 	}
@@ -172,74 +169,74 @@
 }
 
 func TestWindowsAreReportedOnce(t *testing.T) {
-	b := newBench(3)
+	b := newTestBench(3)
 	b.run(11 * time.Second)
-	b.begin(b.nodes[0], "x", 3)
-	b.begin(b.nodes[1], "x", 2)
-	b.begin(b.nodes[2], "y", 1)
+	b.countRequests(b.nodes[0], "x", 3)
+	b.countRequests(b.nodes[1], "x", 2)
+	b.countRequests(b.nodes[2], "y", 1)
 	b.run(4500 * time.Millisecond)
-	b.begin(b.nodes[1], "y", 4)
+	b.countRequests(b.nodes[1], "y", 4)
 	b.run(25 * time.Second)
 	if got := b.reportOf(t, 2); !maps.Equal(got, map[string]int64{"x": 5, "y": 1}) {
-		t.Errorf("%v", got)
+		t.Errorf("reported %v", got)
 	}
 	if got := b.reportOf(t, 3); !maps.Equal(got, map[string]int64{"y": 4}) {
-		t.Errorf("%v", got)
+		t.Errorf("reported %v", got)
 	}
 	if got := b.reportOf(t, 0); got == nil || len(got) != 0 {
-		t.Errorf("%v: a window without requests is reported too", got)
+		t.Errorf("report %v for an empty window, want an empty report", got)
 	}
 	var windows []int64
 	for _, one := range b.reports {
 		windows = append(windows, one.Window)
 	}
 	if !slices.IsSorted(windows) || len(slices.Compact(slices.Clone(windows))) != len(windows) {
-		t.Errorf("%v: each window once, oldest first", windows)
+		t.Errorf("windows %v, want each once and in order", windows)
 	}
 	if left := b.records.Range(b.now, port.RecordRange{Table: Table, Partition: countPartition(0)}); len(left.Records) != 0 {
-		t.Errorf("%d rows of counts are left", len(left.Records))
+		t.Errorf("%d count records not deleted", len(left.Records))
 	}
 }
 
-// TestSumsAreFixedBeforeTheyAreSent: a second holder, which knows of more, sends the first one's
-// sum, as the call of that may still be carried out.
+// TestSumsAreFixedBeforeTheyAreSent checks that a second holder sends the sum that the first one
+// stored even if it knows of more requests, since the first holder's call may still arrive.
 func TestSumsAreFixedBeforeTheyAreSent(t *testing.T) {
-	b := newBench(2)
+	b := newTestBench(2)
 	first := b.nodes[0]
 	b.run(11 * time.Second)
-	b.begin(first, "x", 3)
+	b.countRequests(first, "x", 3)
 	sent := false
 	b.status = func(report port.UsageReport) port.DutyStatus {
-		if report.Window == begunAt.Unix()/5+2 && !sent {
+		if report.Window == startTime.Unix()/5+2 && !sent {
 			sent = true
-			first.dead = true
+			first.stopped = true
 			b.reports = append(b.reports, report)
 			return port.DutyUnknown
 		}
 		return port.DutyDone
 	}
 	for !sent {
-		b.run(tickEvery)
+		b.run(tickInterval)
 	}
-	late := b.start("late", 9)
-	late.keeper.OnRecord(b.records.Range(b.now, port.RecordRange{Table: clockKey.Table, Partition: clockKey.Partition, From: clockKey.Key, To: clockKey.Key + "\x00"}).Records[0])
-	late.counter.Note(b.now, begunAt.Add(12*time.Second), "x")
+	second := b.start("second", 9)
+	second.keeper.OnRecord(b.records.Range(b.now, port.RecordRange{Table: clockKey.Table, Partition: clockKey.Partition, From: clockKey.Key, To: clockKey.Key + "\x00"}).Records[0])
+	second.counter.Note(b.now, startTime.Add(12*time.Second), "x")
 	b.run(15 * time.Second)
 	if got := b.reportOf(t, 2); !maps.Equal(got, map[string]int64{"x": 3}) {
-		t.Errorf("%v", got)
+		t.Errorf("reported %v", got)
 	}
 	if got := b.reportOf(t, 3); got == nil {
-		t.Error("the second holder does not go on")
+		t.Error("the second holder does not report the next window")
 	}
 }
 
-// TestCountsSurviveLostAnswers: writes whose answers are lost, and that take effect late, change
-// nothing of the counts.
+// TestCountsSurviveLostAnswers checks that lost answers and delayed writes do not change the
+// counts.
 func TestCountsSurviveLostAnswers(t *testing.T) {
-	b := newBench(1)
+	b := newTestBench(1)
 	n := b.nodes[0]
 	b.run(11 * time.Second)
-	var late []port.RecordTransaction
+	var delayed []port.RecordTransaction
 	lost := 0
 	n.answer = func(one task.Commit) (port.RecordResult, bool) {
 		if len(one.Transaction.Puts) == 0 || one.Transaction.Puts[0].Partition == ReportPartition || one.Transaction.Puts[0].Table != Table || lost >= 3 {
@@ -249,25 +246,26 @@
 		if lost == 2 {
 			b.records.Commit(b.now, one.Transaction)
 		}
-		late = append(late, one.Transaction)
+		delayed = append(delayed, one.Transaction)
 		return port.RecordResult{Status: port.RecordUnknown}, true
 	}
-	b.begin(n, "x", 2)
+	b.countRequests(n, "x", 2)
 	b.run(500 * time.Millisecond)
-	b.begin(n, "x", 1)
+	b.countRequests(n, "x", 1)
 	b.run(3 * time.Second)
-	for _, one := range late {
+	for _, one := range delayed {
 		b.records.Commit(b.now, one)
 	}
 	b.run(20 * time.Second)
 	if got := b.reportOf(t, 2); !maps.Equal(got, map[string]int64{"x": 3}) {
-		t.Errorf("%v", got)
+		t.Errorf("reported %v", got)
 	}
 }
 
-// TestRefusedReportsAreRepeated until the platform takes them, without hurry.
+// TestRefusedReportsAreRepeated checks that rejected reports are sent again until the platform
+// accepts them.
 func TestRefusedReportsAreRepeated(t *testing.T) {
-	b := newBench(1)
+	b := newTestBench(1)
 	tries := 0
 	b.status = func(port.UsageReport) port.DutyStatus {
 		tries++
@@ -278,13 +276,13 @@
 	}
 	b.run(20 * time.Second)
 	if len(b.reports) == 0 || tries < 6 {
-		t.Errorf("%d tries, %d reports", tries, len(b.reports))
+		t.Errorf("%d attempts, %d reports", tries, len(b.reports))
 	}
 }
 
-// TestFencedReporterStops: the platform has seen a newer fence.
+// TestFencedReporterStops checks that no report follows under a fence that was rejected.
 func TestFencedReporterStops(t *testing.T) {
-	b := newBench(1)
+	b := newTestBench(1)
 	fences := map[int64]int{}
 	b.status = func(report port.UsageReport) port.DutyStatus {
 		fences[report.Fence]++
@@ -293,57 +291,58 @@
 	b.run(30 * time.Second)
 	for fence, calls := range fences {
 		if calls > 1 {
-			t.Errorf("%d calls under fence %d, which was refused as too old", calls, fence)
+			t.Errorf("%d calls under rejected fence %d", calls, fence)
 		}
 	}
 	if len(fences) < 2 {
-		t.Errorf("%d fences: a later acquisition brings a newer one", len(fences))
+		t.Errorf("%d fences, want a newer one after the rejection", len(fences))
 	}
 }
 
-// TestStoppingNodesDoNotPressTheStore: all nodes may stop while the store refuses.
+// TestStoppingNodesDoNotPressTheStore checks that a stopping node limits its writes while the store
+// rejects them.
 func TestStoppingNodesDoNotPressTheStore(t *testing.T) {
-	b := newBench(1)
+	b := newTestBench(1)
 	n := b.nodes[0]
 	b.run(11 * time.Second)
-	b.begin(n, "x", 1)
+	b.countRequests(n, "x", 1)
 	writes := 0
 	n.answer = func(one task.Commit) (port.RecordResult, bool) {
 		writes++
 		return port.RecordResult{Status: port.RecordRefused}, true
 	}
-	for end := b.now.Add(2 * time.Second); b.now.Before(end); b.now = b.now.Add(tickEvery) {
+	for end := b.now.Add(2 * time.Second); b.now.Before(end); b.now = b.now.Add(tickInterval) {
 		n.counter.Tick(b.now, true)
 		for _, one := range n.queue.Take() {
-			b.carryOut(n, one)
+			b.execute(n, one)
 		}
 	}
 	if writes < 2 || writes > 9 {
-		t.Errorf("%d writes in two seconds of refusals", writes)
+		t.Errorf("%d writes in two seconds of rejections", writes)
 	}
 }
 
-// TestUnreadableReportsAreToldOf: the next holder can't know what was sent, so it sends nothing.
+// TestUnreadableReportsAreToldOf checks that a window with an undecodable report is skipped.
 func TestUnreadableReportsAreToldOf(t *testing.T) {
-	b := newBench(1)
+	b := newTestBench(1)
 	b.run(7 * time.Second)
-	key := reportKey(begunAt.Unix()/5 + 1)
+	key := reportKey(startTime.Unix()/5 + 1)
 	b.records.Commit(b.now, port.RecordTransaction{Puts: []port.Record{{RecordKey: key, Value: []byte("\xff\xff\xff")}}})
 	calls := 0
 	b.nodes[0].answer = func(one task.Commit) (port.RecordResult, bool) {
 		if one.Transaction.Puts != nil && one.Transaction.Puts[0].RecordKey == key {
 			calls++
 			if calls > 100 {
-				t.Fatal("the store is asked again and again")
+				t.Fatal("too many attempts to write the report")
 			}
 		}
 		return port.RecordResult{}, false
 	}
 	b.run(20 * time.Second)
 	if got := b.reportOf(t, 1); got != nil {
-		t.Errorf("%v was sent", got)
+		t.Errorf("report %v sent for the undecodable window", got)
 	}
 	if got := b.reportOf(t, 2); got == nil {
-		t.Error("one unreadable report holds up all others")
+		t.Error("the next window is not reported")
 	}
 }
