--- a/internal/version/scaling/scaling.go
+++ b/internal/version/scaling/scaling.go
@@ -1,8 +1,8 @@
-// Package scaling decides how many replicas each zone should have, for services whose number
-// of replicas can be ordered. The holder of a lease orders them.
+// Package scaling determines the number of replicas per zone for services whose replica count can
+// be ordered. Only the lease holder sends orders.
 //
-// Nothing is kept but in memory: an order names the number wanted, not a change, so a new holder
-// only needs to see the replicas and the work at hand.
+// No state is persisted. An order states the target number rather than a change, so a new holder
+// only needs the current replicas and work.
 package scaling
 
 import (
@@ -18,141 +18,143 @@
 )
 
 const (
-	// slotsPerItem is how many slots are wanted for an item that is under way at the peak: short
-	// texts take turns on a slot within a second, the long ones hold theirs throughout.
+	// slotsPerItem is the number of slots per item in progress at the peak. It is below one because
+	// items with short texts share a slot.
 	slotsPerItem = 0.6
-	// lookEvery paces the look at the work at hand.
-	lookEvery = 250 * time.Millisecond
-	// peakFor is how long a peak of the work counts: trainers ask for steps every few seconds.
-	peakFor = 15 * time.Second
-	// growBy is by what part the number wanted must exceed the present one for an order.
-	growBy = 0.1
-	// shrinkTo is the part of the present number that must have sufficed throughout shrinkAfter
-	// for replicas to be given back: to have them back takes their start.
-	shrinkTo    = 0.6
-	shrinkAfter = 2 * time.Minute
-	// settleMargin is added to the time that replicas take to start before an order that did not
-	// bring them is repeated.
-	settleMargin = 3 * time.Second
-	// callLimit bounds a call to the platform.
-	callLimit = 900 * time.Millisecond
-	// listedFor is how long the list of replicas must have been known without a break: replicas
-	// write their records every second or so, and those that ran out are back within two.
-	listedFor = 5 * time.Second
-	// floorFor is how long an order that is not meant to take replicas away goes by the most that
-	// were listed: the list may lack some that are there.
-	floorFor = time.Minute
-	// refusedPause is the wait after a call that brought nothing.
-	refusedPause = 500 * time.Millisecond
+	// tickInterval is the interval between evaluations.
+	tickInterval = 250 * time.Millisecond
+	// peakWindow is how long a peak of the work counts. Trainers request steps every few seconds.
+	peakWindow = 15 * time.Second
+	// growThreshold is the fraction by which the number needed must exceed the current one before
+	// replicas are added.
+	growThreshold = 0.1
+	// Replicas are removed once a number of at most shrinkThreshold times the current one has been
+	// sufficient throughout shrinkDelay. Adding them back takes their start-up time.
+	shrinkThreshold = 0.6
+	shrinkDelay     = 2 * time.Minute
+	// startMargin is added to the start-up time of replicas before an unfulfilled order is sent
+	// again.
+	startMargin = 3 * time.Second
+	// callTimeout bounds a call to the platform.
+	callTimeout = 900 * time.Millisecond
+	// minListedDuration is how long the list of replicas must have been continuously available.
+	// After an interruption, replicas take some seconds to renew expired records.
+	minListedDuration = 5 * time.Second
+	// floorWindow is the period whose maximum replica count an order that adds replicas must not
+	// fall below, since the list may be missing some replicas.
+	floorWindow = time.Minute
+	// retryDelay is the delay after an unsuccessful call.
+	retryDelay = 500 * time.Millisecond
 )
 
-// Zone is what is known of a service's replicas in one zone.
+// Zone describes a service's replicas in one zone.
 type Zone struct {
 	Name string
-	// Replicas counts those that stay, Slots is what one of them runs at once, 0 if none is listed
-	// anywhere.
+	// Replicas is the number of replicas that are not draining. Slots is the number of slots per
+	// replica, or 0 if no replica is listed in any zone.
 	Replicas, Slots int
-	// Evacuated zones get no work: they count as absent, and nothing is ordered for them.
+	// Evacuated zones receive no work. They count as absent, and no replicas are ordered for them.
 	Evacuated bool
 }
 
-// Service is one whose replicas can be ordered.
+// Service is a service whose replica count can be ordered.
 type Service struct {
 	Name string
 	port.Scaling
-	// Items are the items of batch jobs that are under way for it.
+	// Items is the number of batch items in progress.
 	Items int
 	Zones []Zone
 }
 
-// Options configure a Scaler.
+// Options configures a Scaler.
 type Options struct {
 	Self  string
 	Queue *task.Queue
 	Lease *recordlease.Lease
-	// Services returns the services whose replicas can be ordered, as they are now.
+	// Services returns the current state of all services whose replica count can be ordered.
 	Services func() []Service
-	// ListedSince returns since when the list of replicas is known without a break, zero while it
-	// is not.
+	// ListedSince returns since when the list of replicas has been continuously available, or zero
+	// if it is not.
 	ListedSince func() time.Time
 }
 
-// Scaler is the machine; it belongs to the node's loop.
+// Scaler is the state machine that orders replicas. It must only be used from the node's event
+// loop.
 type Scaler struct {
-	options Options
-	nextAt  time.Time
-	// services holds what is known of each service of late, zones what was ordered.
+	options  Options
+	nextTick time.Time
+	// services holds the recent state by service, zones the recent orders by zone.
 	services map[string]*serviceState
 	zones    map[zoneKey]*zoneState
 }
 
-// serviceState is what is known of a service.
+// serviceState is the recent state of a service.
 type serviceState struct {
-	// work is the work at hand of late.
-	work *peak
-	// inUse are the zones that share the work, changedAt is when they last changed.
-	inUse     []string
-	changedAt time.Time
+	// work tracks the number of items in progress.
+	work *peakTracker
+	// activeZones are the zones that share the work. changedAt is when they last changed.
+	activeZones []string
+	changedAt   time.Time
 }
 
 type zoneKey struct{ service, zone string }
 
-// zoneState is what is known of a zone.
+// zoneState is the recent state of a zone.
 type zoneState struct {
-	// listed holds how many replicas were listed of late.
-	listed *peak
-	// replicas is the number ordered last, at the time of the order.
-	replicas int
-	at       time.Time
-	busy     bool
-	notAt    time.Time
+	// listed tracks the number of listed replicas.
+	listed *peakTracker
+	// replicas is the number last ordered, at orderedAt.
+	replicas       int
+	orderedAt      time.Time
+	requestPending bool
+	notBefore      time.Time
 }
 
-// New returns a machine that has ordered nothing.
+// New returns a Scaler without any orders.
 func New(options Options) *Scaler {
 	return &Scaler{options: options, services: map[string]*serviceState{}, zones: map[zoneKey]*zoneState{}}
 }
 
-// Tick orders what is due, if this node holds the lease.
+// Tick sends the orders that are due if this node holds the lease.
 func (s *Scaler) Tick(now time.Time) {
 	if !s.options.Lease.Held(now) {
 		clear(s.services)
 		clear(s.zones)
 		return
 	}
-	if now.Before(s.nextAt) {
+	if now.Before(s.nextTick) {
 		return
 	}
-	s.nextAt = now.Add(lookEvery)
+	s.nextTick = now.Add(tickInterval)
 	for _, service := range s.options.Services() {
 		s.tickService(now, service)
 	}
 }
 
 func (s *Scaler) tickService(now time.Time, service Service) {
-	known := s.services[service.Name]
-	if known == nil {
-		known = &serviceState{work: &peak{since: now}, inUse: zonesInUse(service)}
-		s.services[service.Name] = known
+	state := s.services[service.Name]
+	if state == nil {
+		state = &serviceState{work: &peakTracker{since: now}, activeZones: activeZoneNames(service)}
+		s.services[service.Name] = state
 	}
-	known.work.note(now, service.Items)
-	if inUse := zonesInUse(service); !slices.Equal(inUse, known.inUse) {
-		known.inUse, known.changedAt = inUse, now
+	state.work.add(now, service.Items)
+	if active := activeZoneNames(service); !slices.Equal(active, state.activeZones) {
+		state.activeZones, state.changedAt = active, now
 	}
 	for _, zone := range service.Zones {
 		if zone.Evacuated {
 			continue
 		}
-		state := s.zone(now, service, zone)
-		state.listed.note(now, zone.Replicas)
-		if wanted := s.wanted(now, service, zone, known); wanted != zone.Replicas && s.listed(now) {
-			s.order(now, service, zone, wanted)
+		current := s.zoneStateOf(now, service, zone)
+		current.listed.add(now, zone.Replicas)
+		if target := s.targetReplicas(now, service, zone, state); target != zone.Replicas && s.listComplete(now) {
+			s.order(now, service, zone, target)
 		}
 	}
 }
 
-// zonesInUse names the zones that share a service's work.
-func zonesInUse(service Service) []string {
+// activeZoneNames returns the names of the zones that share a service's work.
+func activeZoneNames(service Service) []string {
 	var names []string
 	for _, zone := range service.Zones {
 		if !zone.Evacuated {
@@ -162,43 +164,44 @@
 	return names
 }
 
-func (s *Scaler) zone(now time.Time, service Service, zone Zone) *zoneState {
+func (s *Scaler) zoneStateOf(now time.Time, service Service, zone Zone) *zoneState {
 	key := zoneKey{service.Name, zone.Name}
 	state := s.zones[key]
 	if state == nil {
-		state = &zoneState{listed: &peak{since: now}}
+		state = &zoneState{listed: &peakTracker{since: now}}
 		s.zones[key] = state
 	}
 	return state
 }
 
-// listed reports whether the list of replicas is known for long enough to order by it.
-func (s *Scaler) listed(now time.Time) bool {
+// listComplete reports whether the list of replicas has been available long enough to base orders
+// on it.
+func (s *Scaler) listComplete(now time.Time) bool {
 	since := s.options.ListedSince()
-	return !since.IsZero() && now.Sub(since) >= listedFor
+	return !since.IsZero() && now.Sub(since) >= minListedDuration
 }
 
-// wanted returns how many replicas a zone should have.
-func (s *Scaler) wanted(now time.Time, service Service, zone Zone, known *serviceState) int {
-	bound := func(replicas int) int { return min(max(replicas, service.Min, 1), service.Max) }
-	needed := bound(replicasFor(known.work.most(now, peakFor), zone.Slots, len(known.inUse)))
-	if float64(needed) >= (1+growBy)*float64(zone.Replicas) || zone.Replicas < service.Min {
-		return bound(max(needed, s.zone(now, service, zone).listed.most(now, floorFor)))
+// targetReplicas returns the number of replicas that a zone should have.
+func (s *Scaler) targetReplicas(now time.Time, service Service, zone Zone, state *serviceState) int {
+	clamp := func(replicas int) int { return min(max(replicas, service.Min, 1), service.Max) }
+	needed := clamp(replicasFor(state.work.maxWithin(now, peakWindow), zone.Slots, len(state.activeZones)))
+	if float64(needed) >= (1+growThreshold)*float64(zone.Replicas) || zone.Replicas < service.Min {
+		return clamp(max(needed, s.zoneStateOf(now, service, zone).listed.maxWithin(now, floorWindow)))
 	}
-	// A zone that comes back takes its share while its replicas may be cold, so nothing is given
-	// back at once of what was ordered while it was away.
-	if now.Sub(known.work.since) < shrinkAfter || now.Sub(known.changedAt) < shrinkAfter {
+	// After an evacuation, the zone's replicas may be cold, so the replicas added in the meantime
+	// are not removed immediately.
+	if now.Sub(state.work.since) < shrinkDelay || now.Sub(state.changedAt) < shrinkDelay {
 		return zone.Replicas
 	}
-	sufficed := bound(replicasFor(known.work.most(now, shrinkAfter), zone.Slots, len(known.inUse)))
-	if float64(sufficed) <= shrinkTo*float64(zone.Replicas) {
-		return sufficed
+	sufficient := clamp(replicasFor(state.work.maxWithin(now, shrinkDelay), zone.Slots, len(state.activeZones)))
+	if float64(sufficient) <= shrinkThreshold*float64(zone.Replicas) {
+		return sufficient
 	}
 	return zone.Replicas
 }
 
-// replicasFor returns how many replicas a zone needs for its share of items, 0 if no replica is
-// listed that tells its slots.
+// replicasFor returns the number of replicas that a zone needs for its share of the items, or 0 if
+// the number of slots is unknown.
 func replicasFor(items, slots, zones int) int {
 	if slots <= 0 || zones <= 0 {
 		return 0
@@ -206,73 +209,73 @@
 	return int(math.Ceil(slotsPerItem * float64(items) / float64(slots*zones)))
 }
 
-// order sets a zone's number of replicas. The same number is ordered again only once replicas
-// that were ordered before would have started.
-func (s *Scaler) order(now time.Time, service Service, zone Zone, wanted int) {
-	last := s.zone(now, service, zone)
-	repeated := last.replicas == wanted && now.Sub(last.at) < service.Boot+settleMargin
-	shrinking := wanted < last.replicas && now.Sub(last.at) < service.Boot+settleMargin
-	if last.busy || repeated || shrinking || now.Before(last.notAt) || !s.options.Lease.Act(now, service.Name+"/"+zone.Name) {
+// order orders a zone's number of replicas. An order is not repeated or reduced before its replicas
+// could have started.
+func (s *Scaler) order(now time.Time, service Service, zone Zone, target int) {
+	last := s.zoneStateOf(now, service, zone)
+	repeated := last.replicas == target && now.Sub(last.orderedAt) < service.Boot+startMargin
+	shrinking := target < last.replicas && now.Sub(last.orderedAt) < service.Boot+startMargin
+	if last.requestPending || repeated || shrinking || now.Before(last.notBefore) || !s.options.Lease.Act(now, service.Name+"/"+zone.Name) {
 		return
 	}
-	last.busy = true
+	last.requestPending = true
 	s.options.Queue.Add(task.OrderReplicas{
-		Order: port.ReplicaOrder{Service: service.Name, Zone: zone.Name, Replicas: wanted, Holder: s.options.Self, Fence: s.options.Lease.Fence()},
-		Limit: min(s.options.Lease.Left(now), callLimit),
-		Done:  func(now time.Time, status port.DutyStatus) { s.onOrdered(now, service, zone, wanted, last, status) },
+		Order: port.ReplicaOrder{Service: service.Name, Zone: zone.Name, Replicas: target, Holder: s.options.Self, Fence: s.options.Lease.Fence()},
+		Limit: min(s.options.Lease.Left(now), callTimeout),
+		Done:  func(now time.Time, status port.DutyStatus) { s.onOrdered(now, service, zone, target, last, status) },
 	})
 }
 
-func (s *Scaler) onOrdered(now time.Time, service Service, zone Zone, wanted int, last *zoneState, status port.DutyStatus) {
-	last.busy = false
-	s.options.Queue.Log(event.ReplicasOrdered, "service", service.Name, "zone", zone.Name, "replicas", wanted, "listed", zone.Replicas,
+func (s *Scaler) onOrdered(now time.Time, service Service, zone Zone, target int, last *zoneState, status port.DutyStatus) {
+	last.requestPending = false
+	s.options.Queue.Log(event.ReplicasOrdered, "service", service.Name, "zone", zone.Name, "replicas", target, "listed", zone.Replicas,
 		"items", service.Items, "status", status.String())
 	switch status {
 	case port.DutyDone:
-		last.replicas, last.at = wanted, now
-		if wanted < zone.Replicas {
-			last.listed = &peak{since: now}
+		last.replicas, last.orderedAt = target, now
+		if target < zone.Replicas {
+			last.listed = &peakTracker{since: now}
 		}
 	case port.DutyFenced:
 		s.options.Lease.Fenced(s.options.Lease.Fence())
 	case port.DutyUnknown, port.DutyRefused:
-		last.notAt = now.Add(refusedPause)
+		last.notBefore = now.Add(retryDelay)
 	}
 }
 
-// peak holds how much there was of something of late, by seconds.
-type peak struct {
+// peakTracker holds the recent maximum of a value per second.
+type peakTracker struct {
 	since   time.Time
-	seconds []second
+	samples []sample
 }
 
-type second struct {
+type sample struct {
 	at     time.Time
 	amount int
 }
 
-// note takes how much there is now.
-func (p *peak) note(now time.Time, amount int) {
-	if last := len(p.seconds) - 1; last >= 0 && now.Sub(p.seconds[last].at) < time.Second {
-		p.seconds[last].amount = max(p.seconds[last].amount, amount)
+// add records the current value.
+func (p *peakTracker) add(now time.Time, amount int) {
+	if last := len(p.samples) - 1; last >= 0 && now.Sub(p.samples[last].at) < time.Second {
+		p.samples[last].amount = max(p.samples[last].amount, amount)
 		return
 	}
-	p.seconds = append(p.seconds, second{now, amount})
-	p.seconds = slices.DeleteFunc(p.seconds, func(one second) bool { return now.Sub(one.at) > shrinkAfter })
+	p.samples = append(p.samples, sample{now, amount})
+	p.samples = slices.DeleteFunc(p.samples, func(s sample) bool { return now.Sub(s.at) > shrinkDelay })
 }
 
-// most returns the most that there was within a span.
-func (p *peak) most(now time.Time, within time.Duration) int {
-	most := 0
-	for _, one := range p.seconds {
-		if now.Sub(one.at) <= within {
-			most = max(most, one.amount)
+// maxWithin returns the maximum within the window.
+func (p *peakTracker) maxWithin(now time.Time, window time.Duration) int {
+	peak := 0
+	for _, s := range p.samples {
+		if now.Sub(s.at) <= window {
+			peak = max(peak, s.amount)
 		}
 	}
-	return most
+	return peak
 }
 
-// SortZones puts zones in the order of their names.
+// SortZones sorts zones by name.
 func SortZones(zones []Zone) {
 	slices.SortFunc(zones, func(a, b Zone) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -10,20 +10,20 @@
 	"github.com/doorstep/doorstep/internal/version/recordlease"
 )
 
-// bench drives a scaler whose node holds the lease, and a platform that starts replicas.
-type bench struct {
+// testBench runs a Scaler whose node holds the lease, with a platform that starts replicas.
+type testBench struct {
 	now     time.Time
 	queue   *task.Queue
 	lease   *recordlease.Lease
 	records *model.Records
 	scaler  *Scaler
 	service Service
-	// status is what the platform answers, orders are those sent.
+	// status is the platform's answer, orders the orders sent.
 	status port.DutyStatus
 	orders []port.ReplicaOrder
-	// starting are replicas that serve at a time.
+	// starting holds the ordered replica counts and when they take effect.
 	starting []starting
-	// listedSince is since when the list of replicas is known without a break.
+	// listedSince is since when the list of replicas has been available.
 	listedSince time.Time
 }
 
@@ -34,8 +34,8 @@
 
 const boot = 4 * time.Second
 
-func newBench(zones ...int) *bench {
-	b := &bench{now: time.Unix(1000, 0), queue: &task.Queue{}, status: port.DutyDone}
+func newTestBench(zones ...int) *testBench {
+	b := &testBench{now: time.Unix(1000, 0), queue: &task.Queue{}, status: port.DutyDone}
 	b.records = model.NewRecords(b.now, model.RecordsOptions{})
 	b.lease = recordlease.New(recordlease.Options{
 		Key: port.RecordKey{Table: "leases", Key: "l"}, Holder: "a", Incarnation: 1, Queue: b.queue,
@@ -54,7 +54,7 @@
 	return b
 }
 
-func (b *bench) run(length time.Duration) {
+func (b *testBench) run(length time.Duration) {
 	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(50 * time.Millisecond) {
 		for _, one := range b.starting {
 			if !b.now.Before(one.at) {
@@ -65,13 +65,13 @@
 		b.scaler.Tick(b.now)
 		for tasks := b.queue.Take(); len(tasks) > 0; tasks = b.queue.Take() {
 			for _, one := range tasks {
-				b.carryOut(one)
+				b.execute(one)
 			}
 		}
 	}
 }
 
-func (b *bench) carryOut(one task.Task) {
+func (b *testBench) execute(one task.Task) {
 	switch t := one.(type) {
 	case task.Commit:
 		t.Done(b.now, b.records.Commit(b.now, t.Transaction))
@@ -85,7 +85,7 @@
 	}
 }
 
-func (b *bench) replicas() []int {
+func (b *testBench) replicas() []int {
 	var list []int
 	for _, zone := range b.service.Zones {
 		list = append(list, zone.Replicas)
@@ -98,47 +98,47 @@
 		name  string
 		zones []int
 		items int
-		// replicas are wanted in each zone, orders is how many calls that takes.
+		// replicas is the expected number per zone, orders the expected number of orders.
 		replicas, orders int
 	}{
-		{"no work keeps what is there", []int{5, 5, 5}, 0, 5, 0},
-		{"work that fits", []int{5, 5, 5}, 250, 5, 0},
-		{"a little more than fits", []int{11, 11, 11}, 560, 11, 0},
+		{"no work", []int{5, 5, 5}, 0, 5, 0},
+		{"sufficient replicas", []int{5, 5, 5}, 250, 5, 0},
+		{"slightly more work than replicas", []int{11, 11, 11}, 560, 11, 0},
 		{"much work", []int{5, 5, 5}, 450, 9, 3},
-		{"more than may be had", []int{5, 5, 5}, 5000, 12, 3},
+		{"more than the maximum", []int{5, 5, 5}, 5000, 12, 3},
 		{"a zone without replicas", []int{5, 0, 5}, 250, 5, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(c.zones...)
+			b := newTestBench(c.zones...)
 			b.service.Items = c.items
 			b.run(20 * time.Second)
 			for _, got := range b.replicas() {
 				if got != c.replicas {
-					t.Errorf("%v replicas, should be %d in each zone", b.replicas(), c.replicas)
+					t.Errorf("replicas by zone %v, want %d in each", b.replicas(), c.replicas)
 				}
 			}
 			if len(b.orders) != c.orders {
-				t.Errorf("%d orders, should be %d: %+v", len(b.orders), c.orders, b.orders)
+				t.Errorf("%d orders, want %d: %+v", len(b.orders), c.orders, b.orders)
 			}
 		})
 	}
 }
 
-// TestLostReplicasAreReplaced: replicas that were lost are ordered again, whoever took them.
+// TestLostReplicasAreReplaced checks that lost replicas are ordered again.
 func TestLostReplicasAreReplaced(t *testing.T) {
-	b := newBench(5, 5)
+	b := newTestBench(5, 5)
 	b.service.Items = 160
 	b.run(5 * time.Second)
 	b.service.Zones[0].Replicas = 3
 	b.run(15 * time.Second)
 	if got := b.replicas(); got[0] != 5 || got[1] != 5 || len(b.orders) != 1 {
-		t.Errorf("%v replicas after %d orders", got, len(b.orders))
+		t.Errorf("replicas by zone %v after %d orders", got, len(b.orders))
 	}
 }
 
-// TestRefusedOrdersAreRepeated: without hurry, and each is the same.
+// TestRefusedOrdersAreRepeated checks that rejected orders are repeated at a limited rate.
 func TestRefusedOrdersAreRepeated(t *testing.T) {
-	b := newBench(5)
+	b := newTestBench(5)
 	b.service.Items = 150
 	b.status = port.DutyRefused
 	b.run(5 * time.Second)
@@ -146,41 +146,41 @@
 	b.status = port.DutyDone
 	b.run(10 * time.Second)
 	if refused < 3 || refused > 11 || b.replicas()[0] != 9 {
-		t.Errorf("%d orders while they are refused, then %v replicas", refused, b.replicas())
+		t.Errorf("%d orders while rejected, then %v replicas", refused, b.replicas())
 	}
 }
 
-// TestReplicasAreGivenBackLate: a pause between two steps must not cost the start of replicas.
+// TestReplicasAreGivenBackLate checks that replicas are not removed during a short pause.
 func TestReplicasAreGivenBackLate(t *testing.T) {
-	b := newBench(10)
+	b := newTestBench(10)
 	b.service.Items = 160
 	b.run(10 * time.Second)
 	b.service.Items = 20
-	b.run(shrinkAfter - 20*time.Second)
+	b.run(shrinkDelay - 20*time.Second)
 	if len(b.orders) != 0 {
-		t.Fatalf("%d orders after a short pause", len(b.orders))
+		t.Fatalf("%d orders during a short pause", len(b.orders))
 	}
 	b.run(time.Minute)
 	if got := b.replicas()[0]; got != 2 {
-		t.Errorf("%d replicas for 20 items, should be 2", got)
+		t.Errorf("%d replicas for 20 items, want 2", got)
 	}
 }
 
-// TestFencedHolderStops: a newer holder has ordered.
+// TestFencedHolderStops checks that orders carry a fence and the platform's rejection is handled.
 func TestFencedHolderStops(t *testing.T) {
-	b := newBench(5)
+	b := newTestBench(5)
 	b.service.Items = 150
 	b.status = port.DutyFenced
 	b.run(time.Second)
 	if len(b.orders) == 0 || b.orders[0].Fence == 0 {
-		t.Errorf("%+v", b.orders)
+		t.Errorf("orders: %+v", b.orders)
 	}
 }
 
-// TestNothingIsOrderedBeforeTheListIsKnown: an order names a number, so one that goes by a list
-// which is not whole yet takes replicas away.
+// TestNothingIsOrderedBeforeTheListIsKnown checks that an incomplete list does not lead to an
+// order, which would remove replicas.
 func TestNothingIsOrderedBeforeTheListIsKnown(t *testing.T) {
-	b := newBench(0, 0, 0)
+	b := newTestBench(0, 0, 0)
 	b.listedSince = b.now
 	b.service.Items = 60
 	b.run(2 * time.Second)
@@ -189,39 +189,38 @@
 	}
 	b.run(20 * time.Second)
 	if len(b.orders) != 0 {
-		t.Errorf("%+v", b.orders)
+		t.Errorf("orders: %+v", b.orders)
 	}
 }
 
-// TestLapsedReplicasAreNotTakenAway: while the store is away replicas' records run out, which says
-// nothing of the replicas.
+// TestLapsedReplicasAreNotTakenAway checks that replicas whose records expired during a store
+// outage are not removed.
 func TestLapsedReplicasAreNotTakenAway(t *testing.T) {
-	b := newBench(9)
+	b := newTestBench(9)
 	b.service.Items = 60
 	b.run(10 * time.Second)
 	b.service.Zones[0].Replicas = 0
 	b.listedSince = time.Time{}
 	b.run(5 * time.Second)
 	if len(b.orders) != 0 {
-		t.Fatalf("ordered while the list is not known: %+v", b.orders)
+		t.Fatalf("ordered while the list is unavailable: %+v", b.orders)
 	}
 	b.listedSince = b.now
 	b.service.Zones[0].Replicas = 1
 	b.run(10 * time.Second)
 	for _, order := range b.orders {
 		if order.Replicas < 9 {
-			t.Errorf("%+v takes replicas away that were there a moment ago", order)
+			t.Errorf("order %+v removes replicas that were listed recently", order)
 		}
 	}
 	if b.replicas()[0] != 9 {
-		t.Errorf("%v replicas", b.replicas())
+		t.Errorf("replicas by zone %v", b.replicas())
 	}
 }
 
-// TestNoReplicaTellsItsSlots: without one there is nothing to size an order by, so the least
-// number is ordered rather than the most.
+// TestNoReplicaTellsItsSlots checks that the minimum is ordered if the number of slots is unknown.
 func TestNoReplicaTellsItsSlots(t *testing.T) {
-	b := newBench(0, 0)
+	b := newTestBench(0, 0)
 	b.service.Min = 2
 	b.service.Items = 300
 	for i := range b.service.Zones {
@@ -230,21 +229,22 @@
 	b.run(3 * time.Second)
 	for _, order := range b.orders {
 		if order.Replicas != 2 {
-			t.Errorf("%+v for a service of unknown size", order)
+			t.Errorf("order %+v with an unknown number of slots, want the minimum", order)
 		}
 	}
 	if len(b.orders) != 2 {
-		t.Errorf("%d orders, should be one a zone", len(b.orders))
+		t.Errorf("%d orders, want one per zone", len(b.orders))
 	}
 }
 
-// TestEvacuatedZonesAreAbsent: the other zones get what the work takes, the zone itself nothing.
+// TestEvacuatedZonesAreAbsent checks that the other zones receive replicas for the work of an
+// evacuated zone, and the zone itself none.
 func TestEvacuatedZonesAreAbsent(t *testing.T) {
-	b := newBench(6, 6, 6)
+	b := newTestBench(6, 6, 6)
 	b.service.Items = 300
-	b.run(shrinkAfter)
+	b.run(shrinkDelay)
 	if len(b.orders) != 0 {
-		t.Fatalf("%+v before the evacuation", b.orders)
+		t.Fatalf("orders before the evacuation: %+v", b.orders)
 	}
 	evacuatedAt := b.now
 	b.service.Zones[0].Evacuated = true
@@ -254,48 +254,48 @@
 	}
 	b.run(10*time.Second - b.now.Sub(evacuatedAt))
 	if got := b.replicas(); got[0] != 6 || got[1] != 9 || got[2] != 9 {
-		t.Errorf("%v replicas while a zone is evacuated", got)
+		t.Errorf("replicas by zone %v during the evacuation", got)
 	}
 	b.service.Zones[0].Replicas = 1
-	b.run(2 * shrinkAfter)
+	b.run(2 * shrinkDelay)
 	for _, order := range b.orders {
 		if order.Zone == "a" {
-			t.Errorf("%+v for an evacuated zone", order)
+			t.Errorf("order %+v for an evacuated zone", order)
 		}
 	}
 }
 
-// TestNothingIsGivenBackAtOnceAfterAReturn: the zone that comes back may be cold, so the other keeps
-// what it was given meanwhile for as long as replicas must have sufficed.
+// TestNothingIsGivenBackAtOnceAfterAReturn checks that replicas added during an evacuation are not
+// removed immediately after it.
 func TestNothingIsGivenBackAtOnceAfterAReturn(t *testing.T) {
-	b := newBench(5, 5)
+	b := newTestBench(5, 5)
 	b.service.Items = 160
 	b.service.Zones[0].Evacuated = true
-	b.run(2 * shrinkAfter)
+	b.run(2 * shrinkDelay)
 	if got := b.replicas(); got[0] != 5 || got[1] != 10 {
-		t.Fatalf("%v replicas while a zone is evacuated", got)
+		t.Fatalf("replicas by zone %v during the evacuation", got)
 	}
 	b.orders = nil
 	b.service.Zones[0].Evacuated = false
-	b.run(shrinkAfter - time.Second)
+	b.run(shrinkDelay - time.Second)
 	if len(b.orders) != 0 {
-		t.Errorf("%+v right after the zone's return", b.orders)
+		t.Errorf("orders immediately after the evacuation: %+v", b.orders)
 	}
 	b.run(20 * time.Second)
 	if got := b.replicas(); got[0] != 5 || got[1] != 5 {
-		t.Errorf("%v replicas long after the return", got)
+		t.Errorf("replicas by zone %v long after the evacuation", got)
 	}
 }
 
-// TestAllZonesEvacuated: nothing is ordered where nothing may be sent.
+// TestAllZonesEvacuated checks that nothing is ordered while all zones are evacuated.
 func TestAllZonesEvacuated(t *testing.T) {
-	b := newBench(2, 2)
+	b := newTestBench(2, 2)
 	b.service.Items = 500
 	for i := range b.service.Zones {
 		b.service.Zones[i].Evacuated = true
 	}
 	b.run(10 * time.Second)
 	if len(b.orders) != 0 {
-		t.Errorf("%+v", b.orders)
+		t.Errorf("orders: %+v", b.orders)
 	}
 }
