--- a/internal/version/experiment/draw.go
+++ b/internal/version/experiment/draw.go
@@ -1,8 +1,8 @@
-// Package experiment turns experiments into batch jobs. A step of a trainer is one batch
-// job, drawn from the experiment's prompts when the trainer asks for it. What a draw is
-// made of stands in the trainer's progress record, so that every node draws the same job,
-// and the job's acceptance, which happens once, decides between nodes that draw at the
-// same time. Running, listing and keeping samples are the batch job's.
+// Package experiment runs experiments as batch jobs. Each step of a trainer is one batch job, drawn
+// from the experiment's prompts when the trainer requests the step. The parameters of a draw are
+// stored in the trainer's progress record, so that every node derives the same job from it. If
+// several nodes draw at the same time, the job's acceptance, which happens once, decides. The batch
+// package runs the jobs and stores their samples.
 package experiment
 
 import (
@@ -19,30 +19,30 @@
 )
 
 const (
-	// ProgressTable holds the trainers' progress, in a partition for each experiment.
+	// ProgressTable holds the trainers' progress, partitioned by experiment.
 	ProgressTable = "trainers"
-	// PromptTable holds the prompt sets, in a partition for each.
+	// PromptTable holds the prompt sets, one partition per set.
 	PromptTable = "prompts"
-	// promptBytes is the content of one part of a prompt set, below the store's bound.
-	promptBytes = 60_000
+	// maxPartBytes is the maximum size of one part of a prompt set. It is below the store's limit.
+	maxPartBytes = 60_000
 )
 
-// ProgressKey names a trainer's progress record.
+// ProgressKey returns the key of a trainer's progress record.
 func ProgressKey(experiment, trainer string) port.RecordKey {
 	return port.RecordKey{Table: ProgressTable, Partition: experiment, Key: trainer}
 }
 
-// Step names a step of a trainer.
+// Step identifies a step of a trainer.
 type Step struct {
 	Experiment, Trainer string
-	// Number counts from 1.
+	// Number starts at 1.
 	Number int64
-	// Tenant is the trainer's, empty where there are no tenants.
+	// Tenant is the trainer's tenant, or empty if there are none.
 	Tenant string
 }
 
-// JobID returns the id of the batch job that a draw of a step is. Names may hold signs
-// that a job's id may not.
+// JobID returns the ID of the batch job for a draw of the step. Names are encoded because they may
+// contain characters that are not allowed in a job's ID.
 func (s Step) JobID(attempt int32) string {
 	name := base64.RawURLEncoding.EncodeToString([]byte(s.Experiment + "\x00" + s.Trainer))
 	if len(name) > 64 {
@@ -51,14 +51,14 @@
 	return fmt.Sprintf("step.%s.%d.%d", name, s.Number, attempt)
 }
 
-// DrawRoutes are the routes that a step's job goes by.
+// DrawRoutes holds the routes of a step's job.
 type DrawRoutes struct {
-	// Batch takes batch jobs for the experiment's service; Scoring goes to the one that
-	// scores its samples, nil if there is none.
+	// Batch accepts batch jobs for the experiment's service. Scoring leads to the service that
+	// scores the samples, or is nil if there is none.
 	Batch, Scoring *port.Route
 }
 
-// NewDraw fixes what a step is drawn from. newest is the policy's newest version.
+// NewDraw returns the parameters of a draw. newest is the policy's newest version.
 func NewDraw(e *doorstepv1.Experiment, routes DrawRoutes, newest int64, attempt int32) *doorstepv1.Draw {
 	draw := &doorstepv1.Draw{
 		Attempt: attempt, Host: routes.Batch.Host, Path: routes.Batch.PathPrefix, Policy: e.Policy, Service: e.Service, Prompts: e.Prompts,
@@ -70,11 +70,11 @@
 	return draw
 }
 
-// Describer returns the header of a request for a rollout: its model, its prompt and the
-// most tokens that it may make.
+// Describer returns the headers of a rollout request from its model, its prompt and its maximum
+// number of tokens.
 type Describer func(model, prompt string, maxTokens int) http.Header
 
-// Job returns the batch job of a draw. It follows from its arguments alone.
+// Job returns the batch job of a draw. It is deterministic in its arguments.
 func Job(step Step, draw *doorstepv1.Draw, prompts []string, describe Describer) *doorstepv1.BatchJob {
 	id := step.JobID(draw.Attempt)
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(id), uint64(draw.Samples)))
@@ -110,13 +110,13 @@
 	return names
 }
 
-// WithinBounds reports whether all samples may be delivered: none is older than the
-// experiment's bounds at the policy's newest version.
+// WithinBounds reports whether all samples comply with the experiment's version bounds, given the
+// policy's newest version.
 func WithinBounds(e *doorstepv1.Experiment, newest int64, results []*doorstepv1.BatchResult) bool {
-	least := max(newest-e.StalenessBound, e.MinVersion)
+	minVersion := max(newest-e.StalenessBound, e.MinVersion)
 	for _, result := range results {
 		for _, version := range result.Versions {
-			if version < least || e.MaxVersion > 0 && version > e.MaxVersion {
+			if version < minVersion || e.MaxVersion > 0 && version > e.MaxVersion {
 				return false
 			}
 		}
@@ -124,18 +124,18 @@
 	return true
 }
 
-// Sample is one delivered sample.
+// Sample is a delivered sample.
 type Sample struct {
 	Slot      int     `json:"slot"`
 	Prompt    string  `json:"prompt"`
 	Text      string  `json:"text"`
 	Versions  []int64 `json:"versions"`
 	Completed bool    `json:"completed"`
-	// Score is the signature of the scoring service's answer, empty where none is asked.
+	// Score is the signature of the scoring service's answer, or empty if there is no scoring.
 	Score string `json:"score,omitempty"`
 }
 
-// Samples puts a job's results into the order of its items.
+// Samples returns a job's samples in the order of its items.
 func Samples(job *doorstepv1.BatchJob, results []*doorstepv1.BatchResult) []Sample {
 	byID := map[string]*doorstepv1.BatchResult{}
 	for _, result := range results {
--- a/internal/version/experiment/prompts.go
+++ b/internal/version/experiment/prompts.go
@@ -12,33 +12,33 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Errors of prompt sets.
+// Errors of prompt set operations.
 var (
-	// ErrPromptsExist says that a set of that name holds other prompts. Sets don't change:
-	// the steps that were drawn from one could not be drawn again.
+	// ErrPromptsExist is returned if the set exists with other prompts. Prompt sets are immutable,
+	// because steps must remain reproducible.
 	ErrPromptsExist = errors.New("a prompt set of that name exists and holds other prompts: choose another name")
-	// ErrStoreSilent says that the store did not answer.
+	// ErrStoreSilent is returned if the store did not answer.
 	ErrStoreSilent = errors.New("the store did not answer")
-	// ErrPromptTooLong says that a prompt does not fit into a record.
-	ErrPromptTooLong = fmt.Errorf("a prompt is longer than %d bytes", promptBytes)
+	// ErrPromptTooLong is returned if a prompt does not fit into a record.
+	ErrPromptTooLong = fmt.Errorf("a prompt is longer than %d bytes", maxPartBytes)
 )
 
 func promptKey(set string, part int) port.RecordKey {
 	return port.RecordKey{Table: PromptTable, Partition: set, Key: fmt.Sprintf("%06d", part)}
 }
 
-// PutPrompts stores a prompt set. The last part is written last, so that a set that can be
-// read is whole.
+// PutPrompts stores a prompt set. It writes the first part last, so that a set with a first part is
+// complete.
 func PutPrompts(ctx context.Context, store port.RecordStore, set string, prompts []string) error {
-	parts, err := partsOf(prompts)
+	parts, err := splitPrompts(prompts)
 	if err != nil {
 		return err
 	}
-	held, err := ReadPrompts(ctx, store, set)
+	stored, err := ReadPrompts(ctx, store, set)
 	if err != nil {
 		return err
 	}
-	if len(held) > 0 && !slices.Equal(held, prompts) {
+	if len(stored) > 0 && !slices.Equal(stored, prompts) {
 		return ErrPromptsExist
 	}
 	for i := len(parts) - 1; i >= 0; i-- {
@@ -54,21 +54,21 @@
 			return ErrStoreSilent
 		}
 	}
-	held, err = ReadPrompts(ctx, store, set)
-	if err == nil && !slices.Equal(held, prompts) {
+	stored, err = ReadPrompts(ctx, store, set)
+	if err == nil && !slices.Equal(stored, prompts) {
 		err = ErrPromptsExist
 	}
 	return err
 }
 
-func partsOf(prompts []string) ([]*doorstepv1.PromptSet, error) {
+func splitPrompts(prompts []string) ([]*doorstepv1.PromptSet, error) {
 	parts := []*doorstepv1.PromptSet{{}}
 	size := 0
 	for _, prompt := range prompts {
-		if len(prompt) > promptBytes/2 {
+		if len(prompt) > maxPartBytes/2 {
 			return nil, ErrPromptTooLong
 		}
-		if size += len(prompt) + 8; size > promptBytes {
+		if size += len(prompt) + 8; size > maxPartBytes {
 			parts, size = append(parts, &doorstepv1.PromptSet{}), len(prompt)+8
 		}
 		last := parts[len(parts)-1]
@@ -77,7 +77,7 @@
 	return parts, nil
 }
 
-// ReadPrompts reads a prompt set, empty if there is none.
+// ReadPrompts returns the prompts of a set, or none if the set does not exist.
 func ReadPrompts(ctx context.Context, store port.RecordStore, set string) ([]string, error) {
 	var prompts []string
 	query := port.RecordRange{Table: PromptTable, Partition: set}
@@ -87,7 +87,7 @@
 			return nil, ErrStoreSilent
 		}
 		if query.From == "" && len(result.Records) > 0 && result.Records[0].Key != promptKey(set, 0).Key {
-			// Its first part, written last, is not there yet.
+			// The first part is written last, so the set is incomplete.
 			return nil, nil
 		}
 		for _, record := range result.Records {
--- a/internal/version/experiment/steps.go
+++ b/internal/version/experiment/steps.go
@@ -13,8 +13,8 @@
 	"github.com/doorstep/doorstep/internal/version/configuration"
 )
 
-// retryPause is the wait before a try is repeated that met another node's.
-const retryPause = 50 * time.Millisecond
+// retryDelay is the delay before a conflicting or unanswered call is repeated.
+const retryDelay = 50 * time.Millisecond
 
 // Status is the outcome of a trainer's call.
 type Status string
@@ -22,97 +22,100 @@
 const (
 	// Done means success.
 	Done Status = "done"
-	// NotReady means that the step is not whole yet: pull again.
+	// NotReady means that the step is not complete yet. The trainer should pull again.
 	NotReady Status = "not_ready"
-	// Refused means that the call makes no sense, such as a step out of order.
+	// Refused means that the call is invalid, such as a step out of order.
 	Refused Status = "refused"
-	// Unavailable means that the store did not answer: repeat the call.
+	// Unavailable means that the store did not answer. The trainer should repeat the call.
 	Unavailable Status = "unavailable"
-	// Unknown means that there is no such experiment or trainer.
+	// Unknown means that the experiment or trainer does not exist.
 	Unknown Status = "unknown"
 )
 
-// Reply answers a trainer's call.
+// Reply is the answer to a trainer's call.
 type Reply struct {
 	Status Status
-	// Reason says why, for a person.
+	// Reason is a human-readable explanation.
 	Reason  string
 	Samples []Sample
 }
 
-// Jobs are the batch jobs that steps are made by.
+// Jobs runs the batch jobs of steps.
 type Jobs interface {
-	// Accept hands a job in; it is false if that is not sure.
+	// Accept submits a job. It returns false if the outcome is not known to be success.
 	Accept(ctx context.Context, job *doorstepv1.BatchJob) bool
-	// Whole waits until a job is whole and returns its results, nil if it was not.
+	// Whole waits until a job is complete and returns its results, or nil if it did not complete.
 	Whole(ctx context.Context, id string) []*doorstepv1.BatchResult
-	// End says that a job's results are not needed any more.
+	// End declares that a job's results are no longer needed.
 	End(ctx context.Context, id string)
 }
 
-// Steps answers trainers. Its fields are set before use.
+// Steps handles trainers' calls. Its fields must be set before use.
 type Steps struct {
 	Store port.RecordStore
 	Jobs  Jobs
-	// Configuration returns the operators' configuration.
+	// Configuration returns the current configuration.
 	Configuration func() *doorstepv1.Configuration
-	// Route returns the route of a kind that goes to a service, nil if there is none.
+	// Route returns a route of the given kind that leads only to the service, or nil.
 	Route func(service string, kind port.RouteKind) *port.Route
-	// Served reports whether a replica lies in the regions in which a job must stay; nil for always.
+	// Served reports whether a replica exists in the regions that a job is restricted to. If nil,
+	// all jobs can be served.
 	Served func(job *doorstepv1.BatchJob) bool
-	// Targets decodes and encodes the newest version that was named for a model.
+	// Targets accesses the models' target versions.
 	Targets Targets
-	// Describe returns the header of a request for a rollout.
+	// Describe returns the headers of a rollout request.
 	Describe Describer
 }
 
-// Targets is how named versions are kept in the store.
+// Targets defines how target versions are stored.
 type Targets interface {
 	TargetKey(model string) port.RecordKey
 	EncodeTarget(target port.VersionTarget) []byte
 	DecodeTarget(value []byte) (port.VersionTarget, error)
 }
 
-// progress is a trainer's progress record as it was read.
+// progress is a trainer's progress record with its revision.
 type progress struct {
 	*doorstepv1.TrainerProgress
 	key      port.RecordKey
 	revision int64
 }
 
-// Pull returns the samples of a step once it is whole: the same at every pull, each no
-// older than the bound when it was sealed. The context bounds the wait.
+// Pull returns the samples of a step once it is complete. Repeated pulls return the same samples.
+// At the time the step is sealed, no sample is older than the staleness bound. The context limits
+// the waiting time.
 func (s *Steps) Pull(ctx context.Context, step Step) Reply {
-	for ; ctx.Err() == nil; wait(ctx) {
+	for ; ctx.Err() == nil; waitRetry(ctx) {
 		e, refusal := s.experiment(step)
 		if e == nil {
 			return refusal
 		}
-		held, ok := s.read(ctx, step)
+		stored, ok := s.readProgress(ctx, step)
 		if !ok {
 			continue
 		}
-		if !held.belongsTo(step.Tenant) {
+		if !stored.belongsTo(step.Tenant) {
 			return unknownTrainer(step)
 		}
-		if step.Number != held.Acknowledged+1 {
-			return Reply{Status: Refused, Reason: fmt.Sprintf("the trainer has acknowledged step %d; the next is %d", held.Acknowledged, held.Acknowledged+1)}
+		if step.Number != stored.Acknowledged+1 {
+			return Reply{Status: Refused, Reason: fmt.Sprintf("the trainer has acknowledged step %d; the next is %d", stored.Acknowledged, stored.Acknowledged+1)}
 		}
-		if reply, decided := s.advance(ctx, step, e, held); decided {
+		if reply, decided := s.advance(ctx, step, e, stored); decided {
 			return reply
 		}
 	}
 	return Reply{Status: NotReady, Reason: "the step is not whole yet"}
 }
 
-func wait(ctx context.Context) {
+func waitRetry(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 	}
 }
 
-// experiment returns a running experiment that has the trainer, or why there is none.
+// experiment returns the trainer's experiment if it is running. Otherwise it returns nil and the
+// reply.
 func (s *Steps) experiment(step Step) (*doorstepv1.Experiment, Reply) {
 	e := configuration.FindExperiment(s.Configuration(), step.Experiment)
 	switch {
@@ -132,19 +135,19 @@
 	return Reply{Status: Unknown, Reason: fmt.Sprintf("experiment %q has no trainer %q", step.Experiment, step.Trainer)}
 }
 
-// belongsTo reports whether a trainer's steps are a tenant's: that of its first pull.
+// belongsTo reports whether the trainer belongs to the tenant, which is the one of its first pull.
 func (p progress) belongsTo(tenant string) bool {
 	return p.Tenant == "" || p.Tenant == tenant
 }
 
-// advance takes a step one move further: it fixes the draw, has it made, seals it, or
-// delivers it. decided is false when the step is to be looked at anew.
-func (s *Steps) advance(ctx context.Context, step Step, e *doorstepv1.Experiment, held progress) (reply Reply, decided bool) {
-	draw := held.Draw
-	if draw == nil || !held.Sealed && !s.current(e, draw) {
-		return s.draw(ctx, step, e, held)
+// advance performs the next stage of a step: create the draw, run it, seal it, or deliver it. If
+// decided is false, the caller must read the progress again.
+func (s *Steps) advance(ctx context.Context, step Step, e *doorstepv1.Experiment, stored progress) (reply Reply, decided bool) {
+	draw := stored.Draw
+	if draw == nil || !stored.Sealed && !s.drawUpToDate(e, draw) {
+		return s.createDraw(ctx, step, e, stored)
 	}
-	job, reply, ok := s.handIn(ctx, step, draw)
+	job, reply, ok := s.submitJob(ctx, step, draw)
 	if job == nil {
 		return reply, ok
 	}
@@ -152,11 +155,12 @@
 	if results == nil {
 		return Reply{}, false
 	}
-	return s.deliver(ctx, step, e, held, job, results)
+	return s.deliver(ctx, step, e, stored, job, results)
 }
 
-// handIn hands the batch job of a draw in. Without a job, the reply says why, if ok is set.
-func (s *Steps) handIn(ctx context.Context, step Step, draw *doorstepv1.Draw) (job *doorstepv1.BatchJob, reply Reply, ok bool) {
+// submitJob submits the batch job of a draw. If job is nil and ok is set, reply is the answer to
+// the trainer.
+func (s *Steps) submitJob(ctx context.Context, step Step, draw *doorstepv1.Draw) (job *doorstepv1.BatchJob, reply Reply, ok bool) {
 	prompts, err := ReadPrompts(ctx, s.Store, draw.Prompts)
 	if err != nil {
 		return nil, Reply{}, false
@@ -174,33 +178,33 @@
 	return nil, Reply{}, false
 }
 
-// runAheadWeight is the idle_weight from which a step is drawn while its trainer trains on
-// the one before.
-const runAheadWeight = 50
+// minRunAheadWeight is the minimum idle_weight for drawing a step while its trainer still trains on
+// the previous one.
+const minRunAheadWeight = 50
 
-// RunAhead draws a trainer's next step before it is pulled, if the experiment weighs the
-// trainer's idle time more than staleness and its bound leaves room for a version that the
-// trainer names meanwhile.
+// RunAhead draws a trainer's next step before it is pulled. It does so only if the experiment
+// weights idle time over staleness and the staleness bound allows for a version published in the
+// meantime.
 func (s *Steps) RunAhead(ctx context.Context, step Step) {
 	e, _ := s.experiment(step)
-	if e == nil || e.IdleWeight < runAheadWeight || e.StalenessBound < 1 {
+	if e == nil || e.IdleWeight < minRunAheadWeight || e.StalenessBound < 1 {
 		return
 	}
-	held, ok := s.read(ctx, step)
-	if !ok || step.Number != held.Acknowledged+1 || held.Sealed {
+	stored, ok := s.readProgress(ctx, step)
+	if !ok || step.Number != stored.Acknowledged+1 || stored.Sealed {
 		return
 	}
-	if held.Draw == nil {
-		s.draw(ctx, step, e, held)
-		if held, ok = s.read(ctx, step); !ok || held.Draw == nil || step.Number != held.Acknowledged+1 {
+	if stored.Draw == nil {
+		s.createDraw(ctx, step, e, stored)
+		if stored, ok = s.readProgress(ctx, step); !ok || stored.Draw == nil || step.Number != stored.Acknowledged+1 {
 			return
 		}
 	}
-	s.handIn(ctx, step, held.Draw)
+	s.submitJob(ctx, step, stored.Draw)
 }
 
-// draw fixes a new draw of a step.
-func (s *Steps) draw(ctx context.Context, step Step, e *doorstepv1.Experiment, held progress) (reply Reply, decided bool) {
+// createDraw stores a new draw of a step.
+func (s *Steps) createDraw(ctx context.Context, step Step, e *doorstepv1.Experiment, stored progress) (reply Reply, decided bool) {
 	routes := s.drawRoutes(e)
 	switch {
 	case routes.Batch == nil:
@@ -208,25 +212,25 @@
 	case e.Scoring != "" && routes.Scoring == nil:
 		return Reply{Status: NotReady, Reason: fmt.Sprintf("no route for requests that may be repeated goes to the scoring service %q", e.Scoring)}, true
 	}
-	if newest, ok := s.newest(ctx, e.Policy); ok {
-		s.fix(ctx, step, held, NewDraw(e, routes, newest, nextAttempt(held.Draw)))
+	if newest, ok := s.newestVersion(ctx, e.Policy); ok {
+		s.storeDraw(ctx, step, stored, NewDraw(e, routes, newest, nextAttempt(stored.Draw)))
 	}
 	return Reply{}, false
 }
 
-// current reports whether an experiment has not changed what a draw is made of. A draw
-// whose route is gone would never be made.
-func (s *Steps) current(e *doorstepv1.Experiment, d *doorstepv1.Draw) bool {
+// drawUpToDate reports whether the experiment's parameters and routes are still those of the draw.
+// A draw whose route was removed cannot be run.
+func (s *Steps) drawUpToDate(e *doorstepv1.Experiment, d *doorstepv1.Draw) bool {
 	routes := s.drawRoutes(e)
 	return d.Policy == e.Policy && d.Service == e.Service && d.Prompts == e.Prompts && d.Samples == e.Samples && d.Scoring == e.Scoring &&
-		leadsTo(routes.Batch, d.Host, d.Path) && (e.Scoring == "" || leadsTo(routes.Scoring, d.ScoringHost, d.ScoringPath))
+		routeMatches(routes.Batch, d.Host, d.Path) && (e.Scoring == "" || routeMatches(routes.Scoring, d.ScoringHost, d.ScoringPath))
 }
 
-func leadsTo(route *port.Route, host, path string) bool {
+func routeMatches(route *port.Route, host, path string) bool {
 	return route != nil && route.Host == host && route.PathPrefix == path
 }
 
-// drawRoutes returns the routes that a draw of an experiment is made by.
+// drawRoutes returns the routes for draws of an experiment.
 func (s *Steps) drawRoutes(e *doorstepv1.Experiment) DrawRoutes {
 	routes := DrawRoutes{Batch: s.Route(e.Service, port.RouteBatch)}
 	if e.Scoring != "" {
@@ -242,56 +246,56 @@
 	return draw.Attempt + 1
 }
 
-// deliver seals a draw whose samples are within the bounds at that moment; others are
-// drawn anew. A trainer publishes its own policy's versions and waits for the step
-// meanwhile, so none is named between the look and the seal.
-func (s *Steps) deliver(ctx context.Context, step Step, e *doorstepv1.Experiment, held progress, job *doorstepv1.BatchJob, results []*doorstepv1.BatchResult) (Reply, bool) {
-	if held.Sealed {
+// deliver seals a draw if its samples are within the bounds, and draws the step again otherwise.
+// Only the trainer publishes versions of its policy, and it waits for the step, so no version is
+// published between the check and the seal.
+func (s *Steps) deliver(ctx context.Context, step Step, e *doorstepv1.Experiment, stored progress, job *doorstepv1.BatchJob, results []*doorstepv1.BatchResult) (Reply, bool) {
+	if stored.Sealed {
 		return Reply{Status: Done, Samples: Samples(job, results)}, true
 	}
-	newest, ok := s.newest(ctx, e.Policy)
+	newest, ok := s.newestVersion(ctx, e.Policy)
 	if !ok {
 		return Reply{}, false
 	}
 	if !WithinBounds(e, newest, results) {
-		reply, decided := s.draw(ctx, step, e, held)
+		reply, decided := s.createDraw(ctx, step, e, stored)
 		s.Jobs.End(ctx, job.Id)
 		return reply, decided
 	}
-	next := proto.Clone(held.TrainerProgress).(*doorstepv1.TrainerProgress)
+	next := proto.Clone(stored.TrainerProgress).(*doorstepv1.TrainerProgress)
 	next.Sealed = true
-	if !s.write(ctx, held, next) {
+	if !s.writeProgress(ctx, stored, next) {
 		return Reply{}, false
 	}
 	return Reply{Status: Done, Samples: Samples(job, results)}, true
 }
 
-// Acknowledge notes that a step's samples are safe with the trainer. Repeats are harmless.
+// Acknowledge records that the trainer has stored a step's samples. It is idempotent.
 func (s *Steps) Acknowledge(ctx context.Context, step Step) Reply {
-	for ; ctx.Err() == nil; wait(ctx) {
-		held, ok := s.read(ctx, step)
+	for ; ctx.Err() == nil; waitRetry(ctx) {
+		stored, ok := s.readProgress(ctx, step)
 		if !ok {
 			continue
 		}
-		if !held.belongsTo(step.Tenant) {
+		if !stored.belongsTo(step.Tenant) {
 			return unknownTrainer(step)
 		}
-		if step.Number <= held.Acknowledged {
+		if step.Number <= stored.Acknowledged {
 			return Reply{Status: Done}
 		}
-		if step.Number != held.Acknowledged+1 || !held.Sealed {
+		if step.Number != stored.Acknowledged+1 || !stored.Sealed {
 			return Reply{Status: Refused, Reason: fmt.Sprintf("step %d was not delivered", step.Number)}
 		}
-		next := &doorstepv1.TrainerProgress{Acknowledged: step.Number, Tenant: held.Tenant}
-		if s.write(ctx, held, next) {
-			s.Jobs.End(ctx, step.JobID(held.Draw.Attempt))
+		next := &doorstepv1.TrainerProgress{Acknowledged: step.Number, Tenant: stored.Tenant}
+		if s.writeProgress(ctx, stored, next) {
+			s.Jobs.End(ctx, step.JobID(stored.Draw.Attempt))
 			return Reply{Status: Done}
 		}
 	}
 	return Reply{Status: Unavailable, Reason: "the store did not answer"}
 }
 
-// Publish names a newer version of the experiment's policy.
+// Publish sets a newer target version of the experiment's policy.
 func (s *Steps) Publish(ctx context.Context, experiment, trainer string, version int64) Reply {
 	e, refusal := s.experiment(Step{Experiment: experiment, Trainer: trainer})
 	if e == nil {
@@ -301,16 +305,16 @@
 		return Reply{Status: Refused, Reason: fmt.Sprintf("version %d is above max_version %d", version, e.MaxVersion)}
 	}
 	key := s.Targets.TargetKey(e.Policy)
-	for ; ctx.Err() == nil; wait(ctx) {
+	for ; ctx.Err() == nil; waitRetry(ctx) {
 		record, ok := port.ReadRecord(ctx, s.Store, key)
 		if !ok {
 			continue
 		}
-		named, err := s.named(record)
-		if err != nil || version < named {
-			return Reply{Status: Refused, Reason: fmt.Sprintf("version %d of %s is named already", named, e.Policy)}
+		current, err := s.targetVersion(record)
+		if err != nil || version < current {
+			return Reply{Status: Refused, Reason: fmt.Sprintf("version %d of %s is named already", current, e.Policy)}
 		}
-		if version == named {
+		if version == current {
 			return Reply{Status: Done}
 		}
 		result := s.Store.Commit(ctx, port.RecordTransaction{
@@ -324,17 +328,17 @@
 	return Reply{Status: Unavailable, Reason: "the store did not answer"}
 }
 
-// newest returns the newest version that was named for a policy, 1 before the first.
-func (s *Steps) newest(ctx context.Context, policy string) (int64, bool) {
+// newestVersion returns a policy's target version, or 1 if it has none.
+func (s *Steps) newestVersion(ctx context.Context, policy string) (int64, bool) {
 	record, ok := port.ReadRecord(ctx, s.Store, s.Targets.TargetKey(policy))
 	if !ok {
 		return 0, false
 	}
-	named, err := s.named(record)
-	return max(named, 1), err == nil
+	version, err := s.targetVersion(record)
+	return max(version, 1), err == nil
 }
 
-func (s *Steps) named(record port.Record) (int64, error) {
+func (s *Steps) targetVersion(record port.Record) (int64, error) {
 	if record.Revision == 0 {
 		return 0, nil
 	}
@@ -342,31 +346,32 @@
 	return target.Version, err
 }
 
-// fix writes a draw into a trainer's progress; the next look tells which draw stands.
-func (s *Steps) fix(ctx context.Context, step Step, held progress, draw *doorstepv1.Draw) {
-	next := proto.Clone(held.TrainerProgress).(*doorstepv1.TrainerProgress)
+// storeDraw writes a draw to a trainer's progress record. If the write conflicts, the next read
+// returns the draw that was stored.
+func (s *Steps) storeDraw(ctx context.Context, step Step, stored progress, draw *doorstepv1.Draw) {
+	next := proto.Clone(stored.TrainerProgress).(*doorstepv1.TrainerProgress)
 	next.Draw, next.Sealed, next.Tenant = draw, false, step.Tenant
-	s.write(ctx, held, next)
+	s.writeProgress(ctx, stored, next)
 }
 
-func (s *Steps) read(ctx context.Context, step Step) (progress, bool) {
+func (s *Steps) readProgress(ctx context.Context, step Step) (progress, bool) {
 	key := ProgressKey(step.Experiment, step.Trainer)
 	record, ok := port.ReadRecord(ctx, s.Store, key)
 	if !ok {
 		return progress{}, false
 	}
-	held := progress{TrainerProgress: &doorstepv1.TrainerProgress{}, key: key, revision: record.Revision}
-	return held, proto.Unmarshal(record.Value, held.TrainerProgress) == nil
+	stored := progress{TrainerProgress: &doorstepv1.TrainerProgress{}, key: key, revision: record.Revision}
+	return stored, proto.Unmarshal(record.Value, stored.TrainerProgress) == nil
 }
 
-func (s *Steps) write(ctx context.Context, held progress, next *doorstepv1.TrainerProgress) bool {
+func (s *Steps) writeProgress(ctx context.Context, stored progress, next *doorstepv1.TrainerProgress) bool {
 	value, err := proto.Marshal(next)
 	if err != nil {
-		panic("progress must encode: " + err.Error())
+		panic("cannot encode trainer progress: " + err.Error())
 	}
 	result := s.Store.Commit(ctx, port.RecordTransaction{
-		Preconditions: []port.Precondition{{RecordKey: held.key, Revision: held.revision}},
-		Puts:          []port.Record{{RecordKey: held.key, Value: value}},
+		Preconditions: []port.Precondition{{RecordKey: stored.key, Revision: stored.revision}},
+		Puts:          []port.Record{{RecordKey: stored.key, Value: value}},
 	})
 	return result.Status == port.RecordDone
 }
--- a/internal/version/experiment/steps_test.go
+++ b/internal/version/experiment/steps_test.go
@@ -19,59 +19,59 @@
 	"github.com/doorstep/doorstep/internal/standin/model"
 )
 
-// store is the modelled store as port.RecordStore.
-type store struct{ *model.Records }
+// testStore implements port.RecordStore with the simulated store.
+type testStore struct{ *model.Records }
 
-func (s store) Commit(_ context.Context, transaction port.RecordTransaction) port.RecordResult {
+func (s testStore) Commit(_ context.Context, transaction port.RecordTransaction) port.RecordResult {
 	return s.Records.Commit(time.Now(), transaction)
 }
 
-func (s store) Range(_ context.Context, query port.RecordRange) port.RecordResult {
+func (s testStore) Range(_ context.Context, query port.RecordRange) port.RecordResult {
 	return s.Records.Range(time.Now(), query)
 }
 
-func (s store) Watch(context.Context, string, int64, time.Duration) port.RecordResult {
+func (s testStore) Watch(context.Context, string, int64, time.Duration) port.RecordResult {
 	return port.RecordResult{}
 }
 
-// targets keeps versions as JSON.
-type targets struct{}
+// jsonTargets stores target versions as JSON.
+type jsonTargets struct{}
 
-func (targets) TargetKey(model string) port.RecordKey {
+func (jsonTargets) TargetKey(model string) port.RecordKey {
 	return port.RecordKey{Table: "targets", Key: model}
 }
 
-func (targets) EncodeTarget(target port.VersionTarget) []byte {
+func (jsonTargets) EncodeTarget(target port.VersionTarget) []byte {
 	value, _ := json.Marshal(target)
 	return value
 }
 
-func (targets) DecodeTarget(value []byte) (target port.VersionTarget, err error) {
+func (jsonTargets) DecodeTarget(value []byte) (target port.VersionTarget, err error) {
 	return target, json.Unmarshal(value, &target)
 }
 
-// jobs makes a job whole as soon as it is accepted.
-type jobs struct {
+// testJobs completes jobs when they are accepted.
+type testJobs struct {
 	mu       sync.Mutex
 	accepted map[string]*doorstepv1.BatchJob
 	ended    map[string]bool
-	// version makes a job's texts; during is called while a job is made.
+	// version returns the version that generates a job's texts. during is called while a job runs.
 	version func() int64
 	during  func(id string)
 	t       *testing.T
 }
 
-func (j *jobs) Accept(_ context.Context, job *doorstepv1.BatchJob) bool {
+func (j *testJobs) Accept(_ context.Context, job *doorstepv1.BatchJob) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if held := j.accepted[job.Id]; held != nil && !proto.Equal(held, job) {
-		j.t.Errorf("job %s was drawn in two ways", job.Id)
+	if previous := j.accepted[job.Id]; previous != nil && !proto.Equal(previous, job) {
+		j.t.Errorf("job %s was accepted with different content", job.Id)
 	}
 	j.accepted[job.Id] = job
 	return true
 }
 
-func (j *jobs) Whole(_ context.Context, id string) []*doorstepv1.BatchResult {
+func (j *testJobs) Whole(_ context.Context, id string) []*doorstepv1.BatchResult {
 	if j.during != nil {
 		j.during(id)
 	}
@@ -89,28 +89,28 @@
 	return results
 }
 
-func (j *jobs) End(_ context.Context, id string) {
+func (j *testJobs) End(_ context.Context, id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.ended[id] = true
 }
 
-type bench struct {
+type testBench struct {
 	*Steps
-	jobs *jobs
-	held *doorstepv1.Configuration
+	jobs          *testJobs
+	configuration *doorstepv1.Configuration
 }
 
-func newBench(t *testing.T) *bench {
+func newTestBench(t *testing.T) *testBench {
 	t.Helper()
-	b := &bench{held: &doorstepv1.Configuration{Revision: 2, Experiments: []*doorstepv1.Experiment{{
+	b := &testBench{configuration: &doorstepv1.Configuration{Revision: 2, Experiments: []*doorstepv1.Experiment{{
 		Name: "e", Policy: "p", Service: "s", Prompts: "q", Trainers: []string{"a", "b"}, Samples: 6, StalenessBound: 1, MaxTokens: 64,
 		State: doorstepv1.ExperimentState_EXPERIMENT_STATE_RUNNING,
 	}}}}
-	b.jobs = &jobs{t: t, accepted: map[string]*doorstepv1.BatchJob{}, ended: map[string]bool{}, version: func() int64 { return 1 }}
+	b.jobs = &testJobs{t: t, accepted: map[string]*doorstepv1.BatchJob{}, ended: map[string]bool{}, version: func() int64 { return 1 }}
 	b.Steps = &Steps{
-		Store: store{model.NewRecords(time.Now(), model.RecordsOptions{})}, Jobs: b.jobs, Targets: targets{},
-		Configuration: func() *doorstepv1.Configuration { return b.held },
+		Store: testStore{model.NewRecords(time.Now(), model.RecordsOptions{})}, Jobs: b.jobs, Targets: jsonTargets{},
+		Configuration: func() *doorstepv1.Configuration { return b.configuration },
 		Route:         func(string, port.RouteKind) *port.Route { return &port.Route{Name: "r", Host: "h", PathPrefix: "/p/"} },
 		Describe: func(model, prompt string, maxTokens int) http.Header {
 			return http.Header{"Model": {model}, "Prompt": {prompt}, "Most": {fmt.Sprint(maxTokens)}}
@@ -122,19 +122,19 @@
 	return b
 }
 
-func (b *bench) pull(number int64) Reply {
+func (b *testBench) pull(number int64) Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	return b.Pull(ctx, Step{Experiment: "e", Trainer: "a", Number: number})
 }
 
-func (b *bench) acknowledge(number int64) Reply {
+func (b *testBench) acknowledge(number int64) Reply {
 	return b.Acknowledge(context.Background(), Step{Experiment: "e", Trainer: "a", Number: number})
 }
 
 func TestStepsOfATrainer(t *testing.T) {
 	convey.Convey("A trainer that pulls its first step", t, func() {
-		b := newBench(t)
+		b := newTestBench(t)
 		first := b.pull(1)
 		convey.Convey("gets all samples in the order of their slots", func() {
 			convey.So(first.Status, convey.ShouldEqual, Done)
@@ -144,27 +144,27 @@
 				convey.So(sample.Text, convey.ShouldNotBeEmpty)
 			}
 		})
-		convey.Convey("gets the same at another pull", func() {
+		convey.Convey("gets the same samples when it pulls again", func() {
 			convey.So(b.pull(1), convey.ShouldResemble, first)
 		})
-		convey.Convey("does not get the next before it has acknowledged this one", func() {
+		convey.Convey("cannot pull the next step before it has acknowledged this one", func() {
 			convey.So(b.pull(2).Status, convey.ShouldEqual, Refused)
 		})
-		convey.Convey("can't acknowledge a step that was not delivered", func() {
+		convey.Convey("cannot acknowledge a step that was not delivered", func() {
 			convey.So(b.acknowledge(2).Status, convey.ShouldEqual, Refused)
 		})
-		convey.Convey("acknowledges it, as often as it likes", func() {
+		convey.Convey("can acknowledge it repeatedly", func() {
 			convey.So(b.acknowledge(1).Status, convey.ShouldEqual, Done)
 			convey.So(b.acknowledge(1).Status, convey.ShouldEqual, Done)
 			convey.So(b.jobs.ended, convey.ShouldContainKey, Step{Experiment: "e", Trainer: "a", Number: 1}.JobID(0))
-			convey.Convey("and then gets the next, and this one no more", func() {
+			convey.Convey("and then pull the next step but not this one", func() {
 				convey.So(b.pull(1).Status, convey.ShouldEqual, Refused)
 				convey.So(b.pull(2).Status, convey.ShouldEqual, Done)
 			})
 		})
 	})
-	convey.Convey("A stranger gets nothing", t, func() {
-		b := newBench(t)
+	convey.Convey("An unknown trainer or experiment is rejected", t, func() {
+		b := newTestBench(t)
 		convey.So(b.Pull(context.Background(), Step{Experiment: "e", Trainer: "x", Number: 1}).Status, convey.ShouldEqual, Unknown)
 		convey.So(b.Pull(context.Background(), Step{Experiment: "x", Trainer: "a", Number: 1}).Status, convey.ShouldEqual, Unknown)
 	})
@@ -172,24 +172,24 @@
 
 func TestScoredSamples(t *testing.T) {
 	convey.Convey("An experiment with a scoring service", t, func() {
-		b := newBench(t)
-		b.held.Experiments[0].Scoring = "judge"
+		b := newTestBench(t)
+		b.configuration.Experiments[0].Scoring = "judge"
 		first := b.pull(1)
-		convey.Convey("delivers each sample with its own score", func() {
+		convey.Convey("delivers each sample with its score", func() {
 			convey.So(first.Status, convey.ShouldEqual, Done)
 			for slot, sample := range first.Samples {
 				convey.So(sample.Score, convey.ShouldEqual, fmt.Sprintf("score of %s.%d.score", Step{Experiment: "e", Trainer: "a", Number: 1}.JobID(0), slot))
 			}
 		})
-		convey.Convey("tells the service the text, by its own route", func() {
+		convey.Convey("sends the text to the scoring service on its route", func() {
 			for _, item := range b.jobs.accepted[Step{Experiment: "e", Trainer: "a", Number: 1}.JobID(0)].Items {
 				convey.So(item.Scoring.SendText, convey.ShouldBeTrue)
 				convey.So(item.Scoring.Host, convey.ShouldEqual, "h")
 			}
 		})
-		convey.Convey("that loses the service draws the next step without scores", func() {
+		convey.Convey("draws the next step without scores after the service is removed", func() {
 			b.acknowledge(1)
-			b.held.Experiments[0].Scoring = ""
+			b.configuration.Experiments[0].Scoring = ""
 			for _, sample := range b.pull(2).Samples {
 				convey.So(sample.Score, convey.ShouldBeEmpty)
 			}
@@ -198,7 +198,7 @@
 }
 
 func TestRacingPullsGetTheSameSamples(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	replies := make([]Reply, 8)
 	var group sync.WaitGroup
 	for i := range replies {
@@ -211,22 +211,22 @@
 	group.Wait()
 	for _, reply := range replies {
 		if reply.Status != Done || !reflect.DeepEqual(reply.Samples, replies[0].Samples) {
-			t.Errorf("%+v is not %+v", reply, replies[0])
+			t.Errorf("got %+v, want %+v", reply, replies[0])
 		}
 	}
 }
 
-// TestStaleSamplesAreDrawnAnew: versions that were named while the step was made leave its
-// samples beyond the bound, so they are thrown away and made again.
+// TestStaleSamplesAreDrawnAnew checks that a step is drawn again if versions published while it ran
+// put its samples beyond the staleness bound.
 func TestStaleSamplesAreDrawnAnew(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	ctx := context.Background()
 	version := int64(1)
 	b.jobs.version = func() int64 { return version }
 	b.jobs.during = func(id string) {
 		if strings.HasSuffix(id, ".0") {
-			for named := int64(2); named <= 4; named++ {
-				b.Publish(ctx, "e", "a", named)
+			for published := int64(2); published <= 4; published++ {
+				b.Publish(ctx, "e", "a", published)
 			}
 			return
 		}
@@ -237,53 +237,57 @@
 		t.Fatalf("%+v", reply)
 	}
 	if drawn := b.jobs.accepted[Step{Experiment: "e", Trainer: "a", Number: 1}.JobID(1)]; drawn == nil || drawn.MinVersion != 3 {
-		t.Errorf("the second draw is %v", drawn)
+		t.Errorf("second draw: %v", drawn)
 	}
 	if !b.jobs.ended[Step{Experiment: "e", Trainer: "a", Number: 1}.JobID(0)] {
-		t.Error("the first draw's job is ended")
+		t.Error("the first draw's job was not ended")
 	}
 }
 
 func TestSealedSamplesStay(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	first := b.pull(1)
 	for named := int64(2); named <= 9; named++ {
 		b.Publish(context.Background(), "e", "b", named)
 	}
-	b.held.Experiments[0].Policy = "other"
+	b.configuration.Experiments[0].Policy = "other"
 	if again := b.pull(1); !reflect.DeepEqual(again, first) {
 		t.Errorf("delivered samples changed: %+v", again)
 	}
 }
 
 func TestSwapDrawsAnew(t *testing.T) {
-	b := newBench(t)
-	b.jobs.during = func(string) { b.held.Experiments[0].Policy = "r" }
+	b := newTestBench(t)
+	b.jobs.during = func(string) { b.configuration.Experiments[0].Policy = "r" }
 	ctx := context.Background()
-	held, _ := b.read(ctx, Step{Experiment: "e", Trainer: "a", Number: 1})
-	b.draw(ctx, Step{Experiment: "e", Trainer: "a", Number: 1}, b.held.Experiments[0], held)
-	b.held.Experiments[0].Policy = "r"
+	stored, _ := b.readProgress(ctx, Step{Experiment: "e", Trainer: "a", Number: 1})
+	b.createDraw(ctx, Step{Experiment: "e", Trainer: "a", Number: 1}, b.configuration.Experiments[0], stored)
+	b.configuration.Experiments[0].Policy = "r"
 	if reply := b.pull(1); reply.Status != Done {
 		t.Fatalf("%+v", reply)
 	}
 	if drawn := b.jobs.accepted[Step{Experiment: "e", Trainer: "a", Number: 1}.JobID(1)]; drawn == nil || drawn.Model != "r" {
-		t.Errorf("after the swap the step is drawn as %v", drawn)
+		t.Errorf("draw after the policy swap: %v", drawn)
 	}
 }
 
 func TestStatesAndBounds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(b *bench)
+		change func(b *testBench)
 		want   Status
 	}{
-		{"running", func(*bench) {}, Done},
-		{"paused", func(b *bench) { b.held.Experiments[0].State = doorstepv1.ExperimentState_EXPERIMENT_STATE_PAUSED }, NotReady},
-		{"stopped", func(b *bench) { b.held.Experiments[0].State = doorstepv1.ExperimentState_EXPERIMENT_STATE_STOPPED }, Refused},
-		{"no prompts", func(b *bench) { b.held.Experiments[0].Prompts = "none" }, NotReady},
-		{"no route", func(b *bench) { b.Route = func(string, port.RouteKind) *port.Route { return nil } }, NotReady},
-		{"no route to the scoring service", func(b *bench) {
-			b.held.Experiments[0].Scoring = "judge"
+		{"running", func(*testBench) {}, Done},
+		{"paused", func(b *testBench) {
+			b.configuration.Experiments[0].State = doorstepv1.ExperimentState_EXPERIMENT_STATE_PAUSED
+		}, NotReady},
+		{"stopped", func(b *testBench) {
+			b.configuration.Experiments[0].State = doorstepv1.ExperimentState_EXPERIMENT_STATE_STOPPED
+		}, Refused},
+		{"no prompts", func(b *testBench) { b.configuration.Experiments[0].Prompts = "none" }, NotReady},
+		{"no route", func(b *testBench) { b.Route = func(string, port.RouteKind) *port.Route { return nil } }, NotReady},
+		{"no route to the scoring service", func(b *testBench) {
+			b.configuration.Experiments[0].Scoring = "judge"
 			b.Route = func(_ string, kind port.RouteKind) *port.Route {
 				if kind == port.RouteBatch {
 					return &port.Route{Name: "r", Host: "h", PathPrefix: "/p/"}
@@ -291,12 +295,12 @@
 				return nil
 			}
 		}, NotReady},
-		{"min_version", func(b *bench) { b.held.Experiments[0].MinVersion = 5 }, NotReady},
+		{"min_version", func(b *testBench) { b.configuration.Experiments[0].MinVersion = 5 }, NotReady},
 	} {
-		b := newBench(t)
+		b := newTestBench(t)
 		c.change(b)
 		if got := b.pull(1); got.Status != c.want {
-			t.Errorf("%s: %+v, should be %s", c.name, got, c.want)
+			t.Errorf("%s: %+v, want %s", c.name, got, c.want)
 		}
 	}
 }
@@ -308,14 +312,14 @@
 		staleness, ack int64
 		drawn          bool
 	}{
-		{"idle time weighs more", 50, 1, 1, true},
-		{"staleness weighs more", 49, 1, 1, false},
-		{"no room for a version", 100, 0, 1, false},
-		{"the step before is not acknowledged", 100, 1, 0, false},
+		{"idle weight at the threshold", 50, 1, 1, true},
+		{"idle weight below the threshold", 49, 1, 1, false},
+		{"staleness bound of 0", 100, 0, 1, false},
+		{"previous step not acknowledged", 100, 1, 0, false},
 	} {
-		b := newBench(t)
-		b.held.Experiments[0].IdleWeight = c.weight
-		b.held.Experiments[0].StalenessBound = c.staleness
+		b := newTestBench(t)
+		b.configuration.Experiments[0].IdleWeight = c.weight
+		b.configuration.Experiments[0].StalenessBound = c.staleness
 		b.pull(1)
 		if c.ack > 0 {
 			b.acknowledge(c.ack)
@@ -323,37 +327,37 @@
 		next := Step{Experiment: "e", Trainer: "a", Number: 2}
 		b.RunAhead(context.Background(), next)
 		if drawn := b.jobs.accepted[next.JobID(0)] != nil; drawn != c.drawn {
-			t.Errorf("%s: drawn %t, should be %t", c.name, drawn, c.drawn)
+			t.Errorf("%s: drawn %t, want %t", c.name, drawn, c.drawn)
 		}
 		if c.drawn {
 			if reply := b.pull(2); reply.Status != Done || b.jobs.accepted[next.JobID(1)] != nil {
-				t.Errorf("%s: the pull takes what was drawn: %+v", c.name, reply)
+				t.Errorf("%s: the pull did not use the existing draw: %+v", c.name, reply)
 			}
 		}
 	}
 }
 
 func TestVersionsOnlyRise(t *testing.T) {
-	b := newBench(t)
-	b.held.Experiments[0].MaxVersion = 6
+	b := newTestBench(t)
+	b.configuration.Experiments[0].MaxVersion = 6
 	for _, c := range []struct {
 		version int64
 		want    Status
 	}{{3, Done}, {3, Done}, {2, Refused}, {5, Done}, {7, Refused}} {
 		if got := b.Publish(context.Background(), "e", "a", c.version); got.Status != c.want {
-			t.Errorf("version %d: %+v, should be %s", c.version, got, c.want)
+			t.Errorf("version %d: %+v, want %s", c.version, got, c.want)
 		}
 	}
 }
 
 func TestPromptSetsDoNotChange(t *testing.T) {
-	b := newBench(t)
+	b := newTestBench(t)
 	ctx := context.Background()
 	if err := PutPrompts(ctx, b.Store, "q", []string{"one", "two", "three"}); err != nil {
-		t.Errorf("the same again: %v", err)
+		t.Errorf("same prompts: %v", err)
 	}
 	if err := PutPrompts(ctx, b.Store, "q", []string{"one"}); err != ErrPromptsExist {
-		t.Errorf("other prompts: %v", err)
+		t.Errorf("different prompts: %v, want ErrPromptsExist", err)
 	}
 	var many []string
 	for i := range 900 {
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// TestFencedHolderStops checks that orders carry a fence and the platform's rejection is handled.
+// TestFencedHolderStops checks that orders carry a fence, with a platform that rejects it.
 func TestFencedHolderStops(t *testing.T) {
 	b := newTestBench(5)
 	b.service.Items = 150
