--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -13,11 +13,12 @@
 
 // Bounds and defaults of an experiment's settings.
 const (
-	// MaximumSamples bounds the samples of a step.
+	// MaximumSamples is the maximum number of samples per step.
 	MaximumSamples = 65536
-	// MaximumTokens bounds the tokens of a rollout.
+	// MaximumTokens is the maximum number of tokens per rollout.
 	MaximumTokens = 1 << 20
-	// MaximumExperiments bounds the experiments, since every node holds them all.
+	// MaximumExperiments is the maximum number of experiments. All of them are held in memory by
+	// every node.
 	MaximumExperiments = 64
 
 	defaultSamples        = 32
@@ -26,12 +27,12 @@
 	defaultMaximumTokens  = 512
 	defaultShare          = 1
 	maximumWeight         = 100
-	// noService is what an operator sets for a service that is not wanted any more.
+	// noService is the value of a setting that removes a service.
 	noService = "none"
 )
 
-// Apply returns a copy of the configuration with the command carried out, or
-// why it cannot be.
+// Apply returns a copy of the configuration with the command applied, or an error if it cannot be
+// applied.
 func Apply(current *doorstepv1.Configuration, command *port.Command) (*doorstepv1.Configuration, error) {
 	next := proto.Clone(current).(*doorstepv1.Configuration)
 	next.Revision++
@@ -69,7 +70,7 @@
 	return fmt.Errorf("command %q does not change the configuration", command.Kind)
 }
 
-// FindExperiment returns the experiment of a name, or nil.
+// FindExperiment returns the experiment with the given name, or nil.
 func FindExperiment(c *doorstepv1.Configuration, name string) *doorstepv1.Experiment {
 	for _, experiment := range c.GetExperiments() {
 		if experiment.Name == name {
@@ -170,10 +171,10 @@
 	return nil
 }
 
-func setNumber(name, value string, least, most int64, set func(int64)) error {
+func setNumber(name, value string, minimum, maximum int64, set func(int64)) error {
 	number, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || number < least || number > most {
-		return fmt.Errorf("%s is %q; allowed is a whole number from %d to %d", name, value, least, most)
+	if err != nil || number < minimum || number > maximum {
+		return fmt.Errorf("%s is %q; allowed is a whole number from %d to %d", name, value, minimum, maximum)
 	}
 	set(number)
 	return nil
@@ -259,10 +260,10 @@
 
 func sameDrain(a, b *doorstepv1.Drain) bool { return a.Kind == b.Kind && a.Name == b.Name }
 
-// Drained reports whether the configuration drains the named target.
+// Drained reports whether the target is drained.
 func Drained(c *doorstepv1.Configuration, kind doorstepv1.DrainKind, name string) bool {
-	wanted := &doorstepv1.Drain{Kind: kind, Name: name}
-	return slices.ContainsFunc(c.GetDrains(), func(d *doorstepv1.Drain) bool { return sameDrain(d, wanted) })
+	target := &doorstepv1.Drain{Kind: kind, Name: name}
+	return slices.ContainsFunc(c.GetDrains(), func(d *doorstepv1.Drain) bool { return sameDrain(d, target) })
 }
 
 func drain(next *doorstepv1.Configuration, target *doorstepv1.Drain) error {
--- a/internal/version/configuration/change_test.go
+++ b/internal/version/configuration/change_test.go
@@ -11,7 +11,7 @@
 	"github.com/doorstep/doorstep/internal/request/statement"
 )
 
-// apply runs statements one after the other and returns the last error.
+// apply applies statements in order and returns the resulting configuration and the first error.
 func apply(t *testing.T, text string) (*doorstepv1.Configuration, error) {
 	t.Helper()
 	statements, err := statement.Parse(text)
@@ -19,11 +19,11 @@
 		t.Fatal(err)
 	}
 	current := &doorstepv1.Configuration{Revision: firstRevision}
-	for _, one := range statements {
+	for _, s := range statements {
 		before := proto.Clone(current)
-		next, err := Apply(current, one.Command)
+		next, err := Apply(current, s.Command)
 		if !proto.Equal(before, current) {
-			t.Errorf("%s changed the configuration it was given", one.Text)
+			t.Errorf("%s modified its input configuration", s.Text)
 		}
 		if err != nil {
 			return current, err
@@ -33,35 +33,35 @@
 	return current, nil
 }
 
-const created = "create experiment e with policy p service s prompts q trainers a, b;"
+const createStatement = "create experiment e with policy p service s prompts q trainers a, b;"
 
 func TestApply(t *testing.T) {
 	cases := []struct {
-		text, refused string
+		text, wantErr string
 		check         func(c *doorstepv1.Configuration) bool
 	}{
-		{created, "", func(c *doorstepv1.Configuration) bool {
+		{createStatement, "", func(c *doorstepv1.Configuration) bool {
 			return c.Revision == 2 && len(c.Experiments[0].Trainers) == 2 && c.Experiments[0].Samples == defaultSamples
 		}},
-		{created + created, "exists already", nil},
+		{createStatement + createStatement, "exists already", nil},
 		{"create experiment e with policy p", "needs service", nil},
-		{created + "create experiment f with policy p service s prompts q trainers a", "belongs to experiment", nil},
-		{created + "alter experiment e set samples 0", "allowed is a whole number from 1", nil},
-		{created + "alter experiment f set samples 1", "no experiment", nil},
-		{created + "alter experiment e set min_version 5 max_version 4", "below min_version", nil},
-		{created + "swap policy p for r in e", "", func(c *doorstepv1.Configuration) bool { return c.Experiments[0].Policy == "r" }},
-		{created + "swap policy x for r in e", "runs policy", nil},
-		{created + "pause experiment e", "", func(c *doorstepv1.Configuration) bool {
+		{createStatement + "create experiment f with policy p service s prompts q trainers a", "belongs to experiment", nil},
+		{createStatement + "alter experiment e set samples 0", "allowed is a whole number from 1", nil},
+		{createStatement + "alter experiment f set samples 1", "no experiment", nil},
+		{createStatement + "alter experiment e set min_version 5 max_version 4", "below min_version", nil},
+		{createStatement + "swap policy p for r in e", "", func(c *doorstepv1.Configuration) bool { return c.Experiments[0].Policy == "r" }},
+		{createStatement + "swap policy x for r in e", "runs policy", nil},
+		{createStatement + "pause experiment e", "", func(c *doorstepv1.Configuration) bool {
 			return c.Experiments[0].State == doorstepv1.ExperimentState_EXPERIMENT_STATE_PAUSED
 		}},
-		{created + "create experiment f with policy r service s prompts q trainers a; run e beside f shares 3 to 1", "", func(c *doorstepv1.Configuration) bool {
+		{createStatement + "create experiment f with policy r service s prompts q trainers a; run e beside f shares 3 to 1", "", func(c *doorstepv1.Configuration) bool {
 			return c.Experiments[0].Share == 3 && c.Experiments[1].Share == 1
 		}},
-		{created + "alter experiment e set scoring judge", "", func(c *doorstepv1.Configuration) bool { return c.Experiments[0].Scoring == "judge" }},
-		{created + "alter experiment e set scoring judge; alter experiment e set scoring none", "", func(c *doorstepv1.Configuration) bool {
+		{createStatement + "alter experiment e set scoring judge", "", func(c *doorstepv1.Configuration) bool { return c.Experiments[0].Scoring == "judge" }},
+		{createStatement + "alter experiment e set scoring judge; alter experiment e set scoring none", "", func(c *doorstepv1.Configuration) bool {
 			return c.Experiments[0].Scoring == ""
 		}},
-		{created + "delete experiment e", "", func(c *doorstepv1.Configuration) bool { return len(c.Experiments) == 0 }},
+		{createStatement + "delete experiment e", "", func(c *doorstepv1.Configuration) bool { return len(c.Experiments) == 0 }},
 		{"drain zone z; undrain zone z", "", func(c *doorstepv1.Configuration) bool { return len(c.Drains) == 0 && c.Revision == 3 }},
 		{"drain zone z; drain zone z", "drained already", nil},
 		{"undrain node n", "not drained", nil},
@@ -70,9 +70,9 @@
 	}
 	for _, c := range cases {
 		result, err := apply(t, c.text)
-		if c.refused != "" {
-			if err == nil || !strings.Contains(err.Error(), c.refused) {
-				t.Errorf("%s: error is %v, should say %q", c.text, err, c.refused)
+		if c.wantErr != "" {
+			if err == nil || !strings.Contains(err.Error(), c.wantErr) {
+				t.Errorf("%s: error %v, want one containing %q", c.text, err, c.wantErr)
 			}
 			continue
 		}
@@ -83,13 +83,13 @@
 }
 
 func TestDifference(t *testing.T) {
-	before, _ := apply(t, created)
+	before, _ := apply(t, createStatement)
 	after, err := Apply(before, &port.Command{Kind: port.PauseExperiment, Experiment: "e"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	reply := Difference(before, after)
 	if len(reply.Rows) != 1 || reply.Rows[0][0] != "experiment e" || reply.Revision != before.Revision {
-		t.Errorf("the difference is %+v", reply)
+		t.Errorf("difference: %+v", reply)
 	}
 }
--- a/internal/version/configuration/command.go
+++ b/internal/version/configuration/command.go
@@ -11,28 +11,27 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// retryPause is the wait before a call to the store is repeated.
-const retryPause = 100 * time.Millisecond
+// retryDelay is the delay before a call to the store is repeated.
+const retryDelay = 100 * time.Millisecond
 
-// Commander carries out commands. Its fields are set before Submit.
+// Commander executes operator commands. Its fields must be set before use.
 type Commander struct {
 	Store port.RecordStore
-	// Now is the time of day, for the history.
+	// Now returns the current time for the history.
 	Now func() time.Time
 }
 
-// snapshot is the configuration as one command saw it.
+// snapshot is the configuration at the time a command read it.
 type snapshot struct {
 	configuration *doorstepv1.Configuration
-	// revision is the record's, the condition of a change.
+	// revision is the record's revision, which a change is conditional on.
 	revision int64
-	// clock is the store's steady clock at the reading.
+	// clock is the store's monotonic clock at the time of the read.
 	clock time.Duration
 }
 
-// Submit carries a command out before the context ends: accepted, refused, or undecided
-// when the store did not answer. Undecided becomes definite when the command is repeated
-// with its token.
+// Submit executes a command. The reply is Accepted, Refused, or Undecided if the store did not
+// answer before the context ended. To resolve an undecided command, repeat it with its token.
 func (c *Commander) Submit(ctx context.Context, call port.OperatorCall) port.OperatorReply {
 	reply := c.submit(ctx, call)
 	reply.Token = call.Token
@@ -40,24 +39,24 @@
 }
 
 func (c *Commander) submit(ctx context.Context, call port.OperatorCall) port.OperatorReply {
-	for ; ctx.Err() == nil; pause(ctx) {
-		recorded, ok := c.recorded(ctx, call.Token)
+	for ; ctx.Err() == nil; waitRetry(ctx) {
+		change, ok := c.recordedChange(ctx, call.Token)
 		if !ok {
 			continue
 		}
-		if recorded != nil {
-			return replyRecorded(recorded)
+		if change != nil {
+			return replyTo(change)
 		}
-		seen, ok := c.read(ctx)
+		current, ok := c.readSnapshot(ctx)
 		if !ok {
 			continue
 		}
 		if call.Command.Kind == port.ShowStatus {
-			// Absence is no proof: the command may still be on its way.
-			return port.OperatorReply{Status: port.Undecided, Revision: seen.configuration.Revision,
+			// The command may still be in flight, so its absence is not conclusive.
+			return port.OperatorReply{Status: port.Undecided, Revision: current.configuration.Revision,
 				Reason: "nothing is recorded under this token; repeat the command with the token to decide it"}
 		}
-		reply, decided := c.try(ctx, call, seen)
+		reply, decided := c.attempt(ctx, call, current)
 		if decided {
 			return reply
 		}
@@ -65,86 +64,86 @@
 	return port.OperatorReply{Status: port.Undecided, Reason: "the store did not answer in time: ask again with the token"}
 }
 
-func pause(ctx context.Context) {
+func waitRetry(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 	}
 }
 
-// try carries a command out on a snapshot; decided is false when its outcome is to be
-// looked for.
-func (c *Commander) try(ctx context.Context, call port.OperatorCall, seen snapshot) (reply port.OperatorReply, decided bool) {
-	present := seen.configuration.Revision
-	if call.IfRevision != 0 && call.IfRevision != present {
-		return c.refuse(ctx, call, c.winner(ctx, present), present)
+// attempt executes a command on a snapshot. If decided is false, the caller must look up the
+// outcome by the command's token.
+func (c *Commander) attempt(ctx context.Context, call port.OperatorCall, current snapshot) (reply port.OperatorReply, decided bool) {
+	revision := current.configuration.Revision
+	if call.IfRevision != 0 && call.IfRevision != revision {
+		return c.recordRefusal(ctx, call, c.conflictReason(ctx, revision), revision)
 	}
 	timed := *call.Command
-	timed.Clock = seen.clock
-	next, err := Apply(seen.configuration, &timed)
+	timed.Clock = current.clock
+	next, err := Apply(current.configuration, &timed)
 	if err != nil {
-		return c.refuse(ctx, call, err.Error(), present)
+		return c.recordRefusal(ctx, call, err.Error(), revision)
 	}
 	if call.Explain {
-		return Difference(seen.configuration, next), true
+		return Difference(current.configuration, next), true
 	}
-	change := c.change(call)
-	change.FromRevision, change.ToRevision = present, next.Revision
+	change := c.newChange(call)
+	change.FromRevision, change.ToRevision = revision, next.Revision
 	result := c.Store.Commit(ctx, port.RecordTransaction{
-		Preconditions: []port.Precondition{{RecordKey: Key(), Revision: seen.revision}, {RecordKey: tokenKey(call.Token)}},
+		Preconditions: []port.Precondition{{RecordKey: Key(), Revision: current.revision}, {RecordKey: tokenKey(call.Token)}},
 		Puts: []port.Record{
 			{RecordKey: Key(), Value: encode(next)},
 			{RecordKey: tokenKey(call.Token), Value: encode(change)},
 			{RecordKey: revisionKey(next.Revision), Value: encode(change)},
 		},
 	})
-	// After a conflict or silence the token tells what became of the command; without
-	// it, the command is tried on what stands then.
-	return replyRecorded(change), result.Status == port.RecordDone
+	// After a conflict or a lost answer, the record of the token shows the outcome. Without one,
+	// the command is attempted on the new configuration.
+	return replyTo(change), result.Status == port.RecordDone
 }
 
-// refuse records the refusal under the command's token before it is told: an earlier try
-// without an answer can no longer take effect then.
-func (c *Commander) refuse(ctx context.Context, call port.OperatorCall, reason string, present uint64) (port.OperatorReply, bool) {
-	change := c.change(call)
-	change.ToRevision, change.Refused = present, reason
+// recordRefusal records a refusal under the command's token before it is returned, so that an
+// earlier unanswered attempt can no longer succeed.
+func (c *Commander) recordRefusal(ctx context.Context, call port.OperatorCall, reason string, revision uint64) (port.OperatorReply, bool) {
+	change := c.newChange(call)
+	change.ToRevision, change.Refused = revision, reason
 	if call.Explain {
-		return replyRecorded(change), true
+		return replyTo(change), true
 	}
 	result := c.Store.Commit(ctx, port.RecordTransaction{
 		Preconditions: []port.Precondition{{RecordKey: tokenKey(call.Token)}},
 		Puts:          []port.Record{{RecordKey: tokenKey(call.Token), Value: encode(change)}},
 	})
-	return replyRecorded(change), result.Status == port.RecordDone
+	return replyTo(change), result.Status == port.RecordDone
 }
 
-func (c *Commander) change(call port.OperatorCall) *doorstepv1.Change {
+func (c *Commander) newChange(call port.OperatorCall) *doorstepv1.Change {
 	return &doorstepv1.Change{Token: call.Token, Operator: call.Operator, Statement: call.Text, UnixMilliseconds: c.Now().UnixMilli()}
 }
 
-// winner tells who made the revision that a command did not expect.
-func (c *Commander) winner(ctx context.Context, revision uint64) string {
-	change, ok := c.find(ctx, revisionKey(revision))
+// conflictReason returns a description of the change that created an unexpected revision.
+func (c *Commander) conflictReason(ctx context.Context, revision uint64) string {
+	change, ok := c.readChange(ctx, revisionKey(revision))
 	if !ok || change == nil {
 		return fmt.Sprintf("the configuration is at revision %d already", revision)
 	}
 	return fmt.Sprintf("operator %q made revision %d first: %s", change.Operator, revision, change.Statement)
 }
 
-func replyRecorded(change *doorstepv1.Change) port.OperatorReply {
+func replyTo(change *doorstepv1.Change) port.OperatorReply {
 	if change.Refused != "" {
 		return port.OperatorReply{Status: port.Refused, Reason: change.Refused, Revision: change.ToRevision}
 	}
 	return port.OperatorReply{Status: port.Accepted, Revision: change.ToRevision}
 }
 
-// recorded returns what is recorded under a token, nil for nothing; ok is false when the
-// store did not answer.
-func (c *Commander) recorded(ctx context.Context, token string) (change *doorstepv1.Change, ok bool) {
-	return c.find(ctx, tokenKey(token))
+// recordedChange returns the change recorded under a token, or nil if there is none. ok is false if
+// the store did not answer.
+func (c *Commander) recordedChange(ctx context.Context, token string) (change *doorstepv1.Change, ok bool) {
+	return c.readChange(ctx, tokenKey(token))
 }
 
-func (c *Commander) find(ctx context.Context, key port.RecordKey) (change *doorstepv1.Change, ok bool) {
+func (c *Commander) readChange(ctx context.Context, key port.RecordKey) (change *doorstepv1.Change, ok bool) {
 	record, ok := port.ReadRecord(ctx, c.Store, key)
 	if !ok || record.Revision == 0 {
 		return nil, ok
@@ -156,7 +155,7 @@
 	return change, true
 }
 
-func (c *Commander) read(ctx context.Context) (snapshot, bool) {
+func (c *Commander) readSnapshot(ctx context.Context) (snapshot, bool) {
 	record, clock, ok := port.ReadRecordAt(ctx, c.Store, Key())
 	if !ok {
 		return snapshot{}, false
@@ -168,8 +167,8 @@
 	return snapshot{configuration: decoded, revision: record.Revision, clock: clock}, true
 }
 
-// Read returns the configuration as it stands in the store.
+// Read returns the stored configuration.
 func (c *Commander) Read(ctx context.Context) (*doorstepv1.Configuration, bool) {
-	seen, ok := c.read(ctx)
-	return seen.configuration, ok
+	current, ok := c.readSnapshot(ctx)
+	return current.configuration, ok
 }
--- a/internal/version/configuration/command_test.go
+++ b/internal/version/configuration/command_test.go
@@ -13,15 +13,15 @@
 	"github.com/doorstep/doorstep/internal/standin/model"
 )
 
-// patience bounds a command; no test depends on being fast.
-const patience = 20 * time.Second
+// commandTimeout bounds a command.
+const commandTimeout = 20 * time.Second
 
-// faultyStore is the modelled store with a fault for each commit.
+// faultyStore is the simulated store with injected faults.
 type faultyStore struct {
 	*model.Records
-	// commit is asked before each commit: what to answer in its place, and whether to
-	// carry it out all the same.
-	commit func(n int) (answer port.RecordStatus, carryOut, instead bool)
+	// commit is called with the number of each commit. If instead is set, the commit returns answer
+	// and is only executed if execute is set.
+	commit func(n int) (answer port.RecordStatus, execute, instead bool)
 	mu     sync.Mutex
 	n      int
 }
@@ -32,8 +32,8 @@
 	n := f.n
 	f.mu.Unlock()
 	if f.commit != nil {
-		if answer, carryOut, instead := f.commit(n); instead {
-			if carryOut {
+		if answer, execute, instead := f.commit(n); instead {
+			if execute {
 				f.Records.Commit(time.Now(), transaction)
 			}
 			return port.RecordResult{Status: answer}
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	return c.Submit(ctx, port.OperatorCall{
 		Operator: operator, Token: token, IfRevision: ifRevision, Text: parsed.Text, Command: parsed.Command, Explain: parsed.Explain,
@@ -85,14 +85,14 @@
 			accepted++
 		case port.Refused:
 			if !strings.Contains(reply.Reason, "drained already") {
-				t.Errorf("refused for %q", reply.Reason)
+				t.Errorf("refused with reason %q", reply.Reason)
 			}
 		default:
-			t.Errorf("a definite answer was wanted: %+v", reply)
+			t.Errorf("reply %+v, want Accepted or Refused", reply)
 		}
 	}
-	if held, ok := c.Read(context.Background()); accepted != 1 || !ok || len(held.Drains) != 1 || held.Revision != 2 {
-		t.Errorf("%d were accepted; the store holds %v", accepted, held)
+	if stored, ok := c.Read(context.Background()); accepted != 1 || !ok || len(stored.Drains) != 1 || stored.Revision != 2 {
+		t.Errorf("%d commands accepted; stored configuration: %v", accepted, stored)
 	}
 }
 
@@ -105,68 +105,68 @@
 	}
 }
 
-// TestLostAnswers plays each way in which the answer to the first commit may be lost: the
-// command has one effect, and what is told holds.
+// TestLostAnswers checks that a command takes effect exactly once and that its reply is correct
+// when the answer to the first commit is lost.
 func TestLostAnswers(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		answer   port.RecordStatus
-		carryOut bool
+		name    string
+		answer  port.RecordStatus
+		execute bool
 	}{
-		{"done, no answer", port.RecordUnknown, true},
-		{"not done, no answer", port.RecordUnknown, false},
+		{"executed, no answer", port.RecordUnknown, true},
+		{"not executed, no answer", port.RecordUnknown, false},
 		{"refused", port.RecordRefused, false},
 	} {
-		commander := newCommander(func(n int) (port.RecordStatus, bool, bool) { return c.answer, c.carryOut, n == 1 })
+		commander := newCommander(func(n int) (port.RecordStatus, bool, bool) { return c.answer, c.execute, n == 1 })
 		reply := submit(t, commander, "o", "t", "drain zone z", 0)
 		if reply.Status != port.Accepted || reply.Revision != 2 {
 			t.Errorf("%s: %+v", c.name, reply)
 		}
-		again := submit(t, commander, "o", "t", "drain zone z", 0)
-		if again.Status != port.Accepted || again.Revision != 2 {
-			t.Errorf("%s: the repeat says %+v", c.name, again)
+		repeated := submit(t, commander, "o", "t", "drain zone z", 0)
+		if repeated.Status != port.Accepted || repeated.Revision != 2 {
+			t.Errorf("%s: repeated command: %+v", c.name, repeated)
 		}
-		if held, _ := commander.Read(context.Background()); len(held.Drains) != 1 {
-			t.Errorf("%s: the store holds %v", c.name, held)
+		if stored, _ := commander.Read(context.Background()); len(stored.Drains) != 1 {
+			t.Errorf("%s: stored configuration: %v", c.name, stored)
 		}
 	}
 }
 
-// TestRefusalHoldsAgainstALateCommit: a try without an answer may be carried out seconds
-// later. Once the command was told to be refused, it can't be.
+// TestRefusalHoldsAgainstALateCommit checks that a delayed commit cannot succeed after the command
+// was refused.
 func TestRefusalHoldsAgainstALateCommit(t *testing.T) {
-	var late func()
+	var commitDelayed func()
 	records := model.NewRecords(time.Now(), model.RecordsOptions{})
-	store := &lateStore{faultyStore: faultyStore{Records: records}, hold: func(do func()) { late = do }}
+	store := &delayingStore{faultyStore: faultyStore{Records: records}, onDelayed: func(do func()) { commitDelayed = do }}
 	c := &Commander{Store: store, Now: time.Now}
 	done := make(chan port.OperatorReply, 1)
-	store.afterFirst = func() {
+	store.afterDelayed = func() {
 		submit(t, &Commander{Store: &store.faultyStore, Now: time.Now}, "other", "t2", "drain zone z", 0)
 	}
 	go func() { done <- submit(t, c, "o", "t1", "drain zone z", 0) }()
 	reply := <-done
 	if reply.Status != port.Refused {
-		t.Fatalf("%+v", reply)
+		t.Fatalf("reply %+v, want Refused", reply)
 	}
-	late()
-	if held, _ := c.Read(context.Background()); held.Revision != 2 || len(held.Drains) != 1 {
-		t.Errorf("the late commit took effect: %v", held)
+	commitDelayed()
+	if stored, _ := c.Read(context.Background()); stored.Revision != 2 || len(stored.Drains) != 1 {
+		t.Errorf("the delayed commit took effect: %v", stored)
 	}
 }
 
-// lateStore holds the first commit back without an answer.
-type lateStore struct {
+// delayingStore delays the first commit and does not answer it.
+type delayingStore struct {
 	faultyStore
-	hold       func(do func())
-	afterFirst func()
-	held       bool
+	onDelayed    func(do func())
+	afterDelayed func()
+	delayed      bool
 }
 
-func (l *lateStore) Commit(ctx context.Context, transaction port.RecordTransaction) port.RecordResult {
-	if !l.held {
-		l.held = true
-		l.hold(func() { l.Records.Commit(time.Now(), transaction) })
-		l.afterFirst()
+func (l *delayingStore) Commit(ctx context.Context, transaction port.RecordTransaction) port.RecordResult {
+	if !l.delayed {
+		l.delayed = true
+		l.onDelayed(func() { l.Records.Commit(time.Now(), transaction) })
+		l.afterDelayed()
 		return port.RecordResult{Status: port.RecordUnknown}
 	}
 	return l.faultyStore.Commit(ctx, transaction)
@@ -189,11 +189,11 @@
 func TestExplainChangesNothing(t *testing.T) {
 	c := newCommander(nil)
 	reply := submit(t, c, "o", "t", "explain drain zone z", 0)
-	held, _ := c.Read(context.Background())
-	if len(reply.Rows) != 1 || held.Revision != firstRevision {
-		t.Errorf("%+v; the store holds %v", reply, held)
+	stored, _ := c.Read(context.Background())
+	if len(reply.Rows) != 1 || stored.Revision != firstRevision {
+		t.Errorf("%+v; stored configuration: %v", reply, stored)
 	}
 	if status := submit(t, c, "o", "t", "status of t", 0); status.Status != port.Undecided {
-		t.Errorf("nothing is recorded, but the status is %+v", status)
+		t.Errorf("status without a recorded command: %+v, want Undecided", status)
 	}
 }
--- a/internal/version/configuration/configuration.go
+++ b/internal/version/configuration/configuration.go
@@ -1,7 +1,7 @@
-// Package configuration holds what operators set: experiments and drains. One record of
-// the store holds all of it. A command replaces the record under the condition that it
-// stands as the command saw it, and leaves its token beside it, so that two operators who
-// race get one truth and a repeated command has one effect. Every node watches the record.
+// Package configuration manages what operators configure: experiments, drains and lifted
+// quarantines. All of it is stored in one record, which every node watches. A command replaces the
+// record conditionally on its revision and records its token in the same transaction. Concurrent
+// commands therefore cannot overwrite each other, and a repeated command takes effect only once.
 package configuration
 
 import (
@@ -14,18 +14,19 @@
 )
 
 const (
-	// Partition holds the configuration's records, so that one transaction spans them.
+	// Partition holds the configuration and its history, so that one transaction can change both.
 	Partition = "operators"
-	// HistoryTable records changes: by token, and by revision.
+	// HistoryTable holds the changes by token and by revision.
 	HistoryTable = "operators-history"
-	// RevisionPrefix leads the keys of changes by revision, tokenPrefix those by token.
+	// RevisionPrefix is the key prefix of changes by revision, tokenPrefix that of changes by
+	// token.
 	RevisionPrefix = "revision/"
 	tokenPrefix    = "token/"
-	// firstRevision is that of the empty configuration, which no record holds.
+	// firstRevision is the revision of the empty configuration, which is not stored.
 	firstRevision = 1
 )
 
-// Key names the record of the configuration.
+// Key returns the key of the configuration's record.
 func Key() port.RecordKey {
 	return port.RecordKey{Table: port.SharedTable, Partition: Partition, Key: "configuration"}
 }
@@ -41,19 +42,19 @@
 // Empty returns the configuration before the first command.
 func Empty() *doorstepv1.Configuration { return &doorstepv1.Configuration{Revision: firstRevision} }
 
-// Decode reads the configuration's record; an absent one is the empty configuration.
+// Decode decodes the configuration's record. A missing record is the empty configuration.
 func Decode(record port.Record) (*doorstepv1.Configuration, error) {
 	if record.Revision == 0 || record.Deleted {
 		return Empty(), nil
 	}
 	decoded := &doorstepv1.Configuration{}
 	if err := proto.Unmarshal(record.Value, decoded); err != nil {
-		return nil, fmt.Errorf("the configuration's record: %w", err)
+		return nil, fmt.Errorf("decode configuration record: %w", err)
 	}
 	return decoded, nil
 }
 
-// Share returns a policy's part of its service's replicas, relative to others.
+// Share returns a policy's share of its service's replicas, relative to other policies.
 func Share(c *doorstepv1.Configuration, policy string) int64 {
 	for _, experiment := range c.GetExperiments() {
 		if experiment.Policy == policy {
@@ -66,7 +67,7 @@
 func encode(message proto.Message) []byte {
 	value, err := proto.Marshal(message)
 	if err != nil {
-		panic("a record must encode: " + err.Error())
+		panic("cannot encode record: " + err.Error())
 	}
 	return value
 }
--- a/internal/version/configuration/difference.go
+++ b/internal/version/configuration/difference.go
@@ -7,7 +7,7 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Difference says what a command would change.
+// Difference returns the changes that a command would make.
 func Difference(before, after *doorstepv1.Configuration) port.OperatorReply {
 	reply := port.OperatorReply{
 		Status:   port.Answered,
@@ -17,10 +17,10 @@
 	}
 	rows := func(c *doorstepv1.Configuration) ([]string, map[string]string) {
 		var names []string
-		texts := map[string]string{}
-		add := func(name, text string) {
+		contents := map[string]string{}
+		add := func(name, content string) {
 			names = append(names, name)
-			texts[name] = text
+			contents[name] = content
 		}
 		for _, experiment := range c.Experiments {
 			add("experiment "+experiment.Name, experiment.String())
@@ -31,16 +31,16 @@
 		for _, lift := range c.Lifts {
 			add("lift "+lift.Request, lift.String())
 		}
-		return names, texts
+		return names, contents
 	}
-	beforeNames, beforeTexts := rows(before)
-	afterNames, afterTexts := rows(after)
+	beforeNames, beforeContents := rows(before)
+	afterNames, afterContents := rows(after)
 	for _, name := range append(beforeNames, afterNames...) {
-		if beforeTexts[name] != afterTexts[name] {
-			reply.Rows = append(reply.Rows, []string{name, beforeTexts[name], afterTexts[name]})
+		if beforeContents[name] != afterContents[name] {
+			reply.Rows = append(reply.Rows, []string{name, beforeContents[name], afterContents[name]})
 		}
-		delete(afterTexts, name)
-		delete(beforeTexts, name)
+		delete(afterContents, name)
+		delete(beforeContents, name)
 	}
 	return reply
 }
--- a/internal/version/configuration/lift.go
+++ b/internal/version/configuration/lift.go
@@ -10,11 +10,12 @@
 	"github.com/doorstep/doorstep/internal/process/quarantine"
 )
 
-// MaximumLifts bounds the lifted quarantines, as every node holds them all; the oldest goes first.
+// MaximumLifts is the maximum number of lifted quarantines. All of them are held in memory by every
+// node. When it is exceeded, the oldest is removed.
 const MaximumLifts = 256
 
-// liftQuarantine has a request that crashed replicas sent to replicas again. A crash that is noted
-// after the command counts anew.
+// liftQuarantine allows a quarantined request to be sent to replicas again. Crashes recorded after
+// the command count again.
 func liftQuarantine(next *doorstepv1.Configuration, command *port.Command) error {
 	if _, ok := quarantine.ParseFingerprint(command.Request); !ok {
 		return fmt.Errorf("%q is no request; show quarantine lists them", command.Request)
@@ -25,8 +26,8 @@
 	return nil
 }
 
-// Lifts returns up to when crashes are void, by the record store's clock, for each request whose
-// quarantine operators lifted.
+// Lifts returns, by request, the time on the record store's clock up to which crashes are ignored
+// because the quarantine was lifted.
 func Lifts(c *doorstepv1.Configuration) map[quarantine.Fingerprint]time.Duration {
 	lifts := map[quarantine.Fingerprint]time.Duration{}
 	for _, lift := range c.GetLifts() {
--- a/internal/version/configuration/linear_test.go
+++ b/internal/version/configuration/linearizability_test.go
@@ -16,19 +16,18 @@
 )
 
 const (
-	operatorsAtOnce  = 4
-	commandsEach     = 12
-	historyCheckTime = 20 * time.Second
+	concurrentOperators = 4
+	commandsPerOperator = 12
+	historyCheckTimeout = 20 * time.Second
 )
 
 // drainCall is one command of an operator's history.
 type drainCall struct {
-	// undrain takes the drain back, read only looks.
+	// undrain removes the drain, read only reads it.
 	undrain, read bool
 }
 
-// drainModel is a drain that is set or not: what the configuration must look like to its
-// operators, whichever answers of the store are lost.
+// drainModel is the sequential model of a drain that is either set or not.
 var drainModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
@@ -46,8 +45,8 @@
 	},
 }
 
-// TestCommandsAreLinearizable lets operators race over one drain while the store loses
-// answers, and demands an order of all commands that explains every reply.
+// TestCommandsAreLinearizable runs concurrent commands on one drain while the store loses answers,
+// and checks that the history is linearizable.
 func TestCommandsAreLinearizable(t *testing.T) {
 	for seed := range uint64(8) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -69,33 +68,33 @@
 		var history []porcupine.Operation
 		var group sync.WaitGroup
 		startedAt := time.Now()
-		for operator := range operatorsAtOnce {
+		for operator := range concurrentOperators {
 			group.Go(func() {
 				c := &Commander{Store: store, Now: time.Now}
-				for n := range commandsEach {
+				for n := range commandsPerOperator {
 					call := drainCall{undrain: draw(2) == 0, read: draw(3) == 0}
-					one := porcupine.Operation{ClientId: operator, Input: call, Call: time.Since(startedAt).Nanoseconds()}
-					one.Output = carryOut(c, call, fmt.Sprintf("%d-%d", operator, n))
-					one.Return = time.Since(startedAt).Nanoseconds()
+					operation := porcupine.Operation{ClientId: operator, Input: call, Call: time.Since(startedAt).Nanoseconds()}
+					operation.Output = execute(c, call, fmt.Sprintf("%d-%d", operator, n))
+					operation.Return = time.Since(startedAt).Nanoseconds()
 					mu.Lock()
-					history = append(history, one)
+					history = append(history, operation)
 					mu.Unlock()
 				}
 			})
 		}
 		group.Wait()
-		if porcupine.CheckOperationsTimeout(drainModel, history, historyCheckTime) != porcupine.Ok {
-			t.Errorf("seed %d: no order of the commands explains %+v", seed, history)
+		if porcupine.CheckOperationsTimeout(drainModel, history, historyCheckTimeout) != porcupine.Ok {
+			t.Errorf("seed %d: history is not linearizable: %+v", seed, history)
 		}
 	}
 }
 
-func carryOut(c *Commander, call drainCall, token string) string {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func execute(c *Commander, call drainCall, token string) string {
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	if call.read {
-		held, _ := c.Read(ctx)
-		return fmt.Sprint(Drained(held, doorstepv1.DrainKind_DRAIN_KIND_ZONE, "z"))
+		stored, _ := c.Read(ctx)
+		return fmt.Sprint(Drained(stored, doorstepv1.DrainKind_DRAIN_KIND_ZONE, "z"))
 	}
 	kind := port.DrainTarget
 	if call.undrain {
