--- a/internal/version/routes/homes.go
+++ b/internal/version/routes/homes.go
@@ -2,9 +2,10 @@
 
 import "github.com/doorstep/doorstep/internal/port"
 
-// Homes returns the regions in which requests of a route and a tenant may be served and kept; both
-// bind. The route may be nil, the tenant empty. For a request that came by the route of an older
-// version, what this version says of that route binds as well.
+// Homes returns the regions in which requests of a route and a tenant may be served and stored.
+// Both the route's and the tenant's restrictions apply. route may be nil and tenant empty. If the
+// route is from another version of the configuration, the restrictions of this version's route of
+// the same name apply as well.
 func (t *Table) Homes(route *port.Route, tenant string) port.Homes {
 	homes := t.homes[tenant]
 	if route == nil {
@@ -17,10 +18,10 @@
 	return homes
 }
 
-// Named returns the route of a name, nil when there is none.
+// Named returns the route with the given name, or nil.
 func (t *Table) Named(name string) *port.Route { return t.byName[name] }
 
-// homesByTenant returns the homes of the tenants that name some.
+// homesByTenant returns the home regions of the tenants that have any.
 func homesByTenant(tenants []port.Tenant) map[string]port.Homes {
 	homes := map[string]port.Homes{}
 	for _, tenant := range tenants {
--- a/internal/version/routes/homes_test.go
+++ b/internal/version/routes/homes_test.go
@@ -6,7 +6,7 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-func homedTable(version int64, regions ...string) *Table {
+func newTable(version int64, regions ...string) *Table {
 	return New(&port.RouteTable{
 		Version: version, Routes: []port.Route{{Name: "r", Host: "h", PathPrefix: "/", AllowedRegions: regions}},
 		Tenants: []port.Tenant{{Name: "red", AllowedRegions: []string{"north", "south"}}, {Name: "blue"}},
@@ -14,7 +14,7 @@
 }
 
 func TestHomesOfRouteAndTenant(t *testing.T) {
-	table := homedTable(1, "south", "west")
+	table := newTable(1, "south", "west")
 	route := table.Match("h", "/x")
 	for _, c := range []struct {
 		route          *port.Route
@@ -30,15 +30,16 @@
 	}
 }
 
-// TestHomesThatNarrowUnderARequest: a stream that came before the change goes on by both versions.
+// TestHomesThatNarrowUnderARequest checks that a request in progress is restricted by both its own
+// and the current version of its route.
 func TestHomesThatNarrowUnderARequest(t *testing.T) {
-	older := homedTable(1).Match("h", "/x")
-	narrowed := homedTable(2, "north")
-	if homes := narrowed.Homes(older, ""); !homes.Allow("north") || homes.Allow("south") {
-		t.Errorf("%+v", homes)
+	olderRoute := newTable(1).Match("h", "/x")
+	narrowed := newTable(2, "north")
+	if homes := narrowed.Homes(olderRoute, ""); !homes.Allow("north") || homes.Allow("south") {
+		t.Errorf("homes after narrowing: %+v", homes)
 	}
-	bound := homedTable(1, "north").Match("h", "/x")
-	if homes := homedTable(2).Homes(bound, ""); !homes.Allow("north") || homes.Allow("south") {
-		t.Errorf("widened: %+v", homes)
+	restricted := newTable(1, "north").Match("h", "/x")
+	if homes := newTable(2).Homes(restricted, ""); !homes.Allow("north") || homes.Allow("south") {
+		t.Errorf("homes after widening: %+v", homes)
 	}
 }
--- a/internal/version/routes/routes.go
+++ b/internal/version/routes/routes.go
@@ -1,4 +1,4 @@
-// Package routes finds the route of a request in one version of the configuration.
+// Package routes looks up the routes of requests in one version of the configuration.
 package routes
 
 import (
@@ -11,21 +11,21 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Table is one version of the configuration, ready for look-ups. It never changes.
+// Table is an immutable, indexed version of the configuration.
 type Table struct {
 	version  int64
 	byHost   map[string][]*port.Route
 	byName   map[string]*port.Route
 	services map[string]port.Service
 	limits   port.IngressLimits
-	// tenants maps the digests of API keys to the names of their tenants, nil where no
-	// tenants are configured.
+	// tenants holds the tenants' names by the digests of their API keys, or is nil if no tenants
+	// are configured.
 	tenants map[port.KeyDigest]string
-	// homes holds those of the tenants that name some, by the tenants' names.
+	// homes holds the home regions of the tenants that have any, by the tenants' names.
 	homes map[string]port.Homes
 }
 
-// New prepares a version of the configuration.
+// New returns the table for a version of the configuration.
 func New(from *port.RouteTable) *Table {
 	table := &Table{version: from.Version, byHost: map[string][]*port.Route{}, byName: map[string]*port.Route{}, services: map[string]port.Service{}, limits: from.Limits}
 	for i := range from.Routes {
@@ -58,28 +58,28 @@
 	return byKey
 }
 
-// HasTenants reports whether callers are told apart by their API keys.
+// HasTenants reports whether callers are identified by API keys.
 func (t *Table) HasTenants() bool { return t.tenants != nil }
 
-// Tenant returns the name of the tenant that holds an API key.
+// Tenant returns the name of the tenant that an API key belongs to.
 func (t *Table) Tenant(key port.KeyDigest) (name string, known bool) {
 	name, known = t.tenants[key]
 	return name, known
 }
 
-// Version returns the configuration's version.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns what clients may send.
+// Limits returns the limits for clients' requests.
 func (t *Table) Limits() port.IngressLimits { return t.limits }
 
-// Service returns a service by name.
+// Service returns the service with the given name.
 func (t *Table) Service(name string) (port.Service, bool) {
 	service, ok := t.services[name]
 	return service, ok
 }
 
-// RouteTo returns the route of a kind that goes to a service alone, nil if there is none.
+// RouteTo returns a route of the given kind whose only backend is the service, or nil.
 func (t *Table) RouteTo(service string, kind port.RouteKind) *port.Route {
 	var found *port.Route
 	for _, list := range t.byHost {
@@ -95,7 +95,7 @@
 	return found
 }
 
-// Services returns all services in the order of their names.
+// Services returns all services, sorted by name.
 func (t *Table) Services() []port.Service {
 	var list []port.Service
 	for _, service := range t.services {
@@ -105,7 +105,7 @@
 	return list
 }
 
-// Match returns the route of a host with the longest prefix of the path, or nil.
+// Match returns the route of a host with the longest matching path prefix, or nil.
 func (t *Table) Match(host, path string) *port.Route {
 	for _, route := range t.byHost[normalHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// normalHost drops a port and the case, neither of which tells hosts apart.
+// normalHost removes the port and converts the host to lower case.
 func normalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -123,24 +123,23 @@
 	return strings.ToLower(host)
 }
 
-// goldenRatio steps through the unit interval so that any run of steps covers it
-// evenly.
+// Steps by the golden ratio, modulo 1, cover the unit interval evenly.
 const goldenRatio = 0.6180339887498949
 
-// Splitter deals the requests of each route to its backends by weight. Its draws are
-// spread evenly rather than at random, so that few requests suffice for the shares.
+// Splitter distributes the requests of each route to its backends by weight. It uses a
+// low-discrepancy sequence instead of random numbers, so that even few requests match the weights.
 type Splitter struct {
 	start     float64
 	positions map[string]float64
 }
 
-// NewSplitter returns a splitter; start, from 0 to 1, differs from node to node.
+// NewSplitter returns a Splitter. start, from 0 to 1, should differ between nodes.
 func NewSplitter(start float64) *Splitter {
 	return &Splitter{start: start, positions: map[string]float64{}}
 }
 
-// Order returns the backends with a weight in the order in which a request tries them:
-// the one whose turn it is, then the others by weight.
+// Order returns the backends with a positive weight in the order in which a request tries them: the
+// selected one first, then the others by weight.
 func (s *Splitter) Order(route *port.Route) []string {
 	total := 0.0
 	for _, backend := range route.Backends {
--- a/internal/version/routes/routes_test.go
+++ b/internal/version/routes/routes_test.go
@@ -23,7 +23,7 @@
 			got = route.Name
 		}
 		if got != c.want {
-			t.Errorf("%s%s goes to %q, should be %q", c.host, c.path, got, c.want)
+			t.Errorf("%s%s matched %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 }
@@ -38,14 +38,14 @@
 		for range draws {
 			order := splitter.Order(route)
 			if len(order) == 0 {
-				t.Fatal("no backend")
+				t.Fatal("no backends returned")
 			}
 			if order[0] == "a" {
 				first++
 			}
 		}
 		if share := float64(first) / draws; math.Abs(share-weight/100) > 0.02 {
-			t.Fatalf("weight %f got a share of %f", weight, share)
+			t.Fatalf("weight %f received a share of %f", weight, share)
 		}
 	})
 }
@@ -55,7 +55,7 @@
 	splitter := NewSplitter(0.1)
 	for range 20 {
 		if order := splitter.Order(route); len(order) != 1 || order[0] != "b" {
-			t.Fatalf("%v", order)
+			t.Fatalf("order %v, want only b", order)
 		}
 	}
 }
@@ -66,10 +66,10 @@
 	}})
 	for key, want := range map[string]string{"r1": "red", "r2": "red", "r": "", "": "", "blue": ""} {
 		if got, known := table.Tenant(port.DigestKey(key)); got != want || known != (want != "") {
-			t.Errorf("key %q is held by %q, known %t", key, got, known)
+			t.Errorf("key %q belongs to %q, known %t", key, got, known)
 		}
 	}
 	if !table.HasTenants() || New(&port.RouteTable{Version: 3}).HasTenants() {
-		t.Error("callers are told apart where there are tenants, and only there")
+		t.Error("HasTenants does not match the configured tenants")
 	}
 }
