--- a/internal/version/configuration/command_test.go
+++ b/internal/version/configuration/command_test.go
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestRacingOperatorsGetOneTruth(t *testing.T) {
+func TestConcurrentCommandsAreSerialized(t *testing.T) {
 	c := newCommander(nil)
 	const operators = 12
 	replies := make([]port.OperatorReply, operators)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestLosingOperatorIsToldWhoWon(t *testing.T) {
+func TestConflictNamesTheOtherOperator(t *testing.T) {
 	c := newCommander(nil)
 	submit(t, c, "first", "t1", "drain zone z", 1)
 	reply := submit(t, c, "second", "t2", "drain zone y", 1)
@@ -172,7 +172,7 @@
 	return l.faultyStore.Commit(ctx, transaction)
 }
 
-func TestSilentStoreLeavesACommandUndecided(t *testing.T) {
+func TestUnansweredCommandIsUndecided(t *testing.T) {
 	c := newCommander(func(int) (port.RecordStatus, bool, bool) { return port.RecordUnknown, false, true })
 	parsed, err := statement.ParseOne("drain zone z")
 	if err != nil {
--- a/internal/version/experiment/steps_test.go
+++ b/internal/version/experiment/steps_test.go
@@ -197,7 +197,7 @@
 	})
 }
 
-func TestRacingPullsGetTheSameSamples(t *testing.T) {
+func TestConcurrentPullsGetTheSameSamples(t *testing.T) {
 	b := newTestBench(t)
 	replies := make([]Reply, 8)
 	var group sync.WaitGroup
@@ -216,9 +216,9 @@
 	}
 }
 
-// TestStaleSamplesAreDrawnAnew checks that a step is drawn again if versions published while it ran
+// TestStaleSamplesAreRedrawn checks that a step is drawn again if versions published while it ran
 // put its samples beyond the staleness bound.
-func TestStaleSamplesAreDrawnAnew(t *testing.T) {
+func TestStaleSamplesAreRedrawn(t *testing.T) {
 	b := newTestBench(t)
 	ctx := context.Background()
 	version := int64(1)
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestSealedSamplesStay(t *testing.T) {
+func TestSealedSamplesDoNotChange(t *testing.T) {
 	b := newTestBench(t)
 	first := b.pull(1)
 	for named := int64(2); named <= 9; named++ {
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestSwapDrawsAnew(t *testing.T) {
+func TestPolicySwapRedraws(t *testing.T) {
 	b := newTestBench(t)
 	b.jobs.during = func(string) { b.configuration.Experiments[0].Policy = "r" }
 	ctx := context.Background()
@@ -337,7 +337,7 @@
 	}
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+func TestVersionsOnlyIncrease(t *testing.T) {
 	b := newTestBench(t)
 	b.configuration.Experiments[0].MaxVersion = 6
 	for _, c := range []struct {
@@ -350,7 +350,7 @@
 	}
 }
 
-func TestPromptSetsDoNotChange(t *testing.T) {
+func TestPromptSetsAreImmutable(t *testing.T) {
 	b := newTestBench(t)
 	ctx := context.Background()
 	if err := PutPrompts(ctx, b.Store, "q", []string{"one", "two", "three"}); err != nil {
--- a/internal/version/recordlease/fenced_test.go
+++ b/internal/version/recordlease/fenced_test.go
@@ -13,9 +13,9 @@
 	}
 }
 
-// TestFencedLeaseActsAtOnce checks that a new holder that has not acted recently does not pause,
+// TestFencedLeaseNeedsNoPause checks that a new holder that has not acted recently does not pause,
 // since delayed acts of the previous holder are rejected.
-func TestFencedLeaseActsAtOnce(t *testing.T) {
+func TestFencedLeaseNeedsNoPause(t *testing.T) {
 	b, first := newTestBenchWithActingHolder(t, 2)
 	b.fence()
 	second := 1 - first
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestFencedLeaseTakesNoTurns checks that a holder that acted, lost the lease and acquired it again
-// completes the pause, also after a restart.
-func TestFencedLeaseTakesNoTurns(t *testing.T) {
+// TestFencedLeaseDoesNotAlternate checks that a holder that acted, lost the lease and acquired it
+// again completes the pause, also after a restart.
+func TestFencedLeaseDoesNotAlternate(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		b, first := newTestBenchWithActingHolder(t, 2)
 		b.fence()
--- a/internal/version/recordlease/recordlease_test.go
+++ b/internal/version/recordlease/recordlease_test.go
@@ -9,7 +9,7 @@
 	doorstepv1 "github.com/doorstep/doorstep/api/doorstep/v1"
 )
 
-func TestOneHolder(t *testing.T) {
+func TestSingleHolder(t *testing.T) {
 	b := newTestBench(3)
 	b.run(2 * time.Second)
 	first := b.onlyHolder(t)
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestCutHolderIsReplaced(t *testing.T) {
+func TestDisconnectedHolderIsReplaced(t *testing.T) {
 	b := newTestBench(3)
 	b.run(2 * time.Second)
 	first := b.onlyHolder(t)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestActsAreApart(t *testing.T) {
+func TestPauseBetweenActsOfTwoHolders(t *testing.T) {
 	b := newTestBench(2)
 	b.run(2 * time.Second)
 	first := b.onlyHolder(t)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestFormerHolderGoesOnAtOnce(t *testing.T) {
+func TestHolderContinuesAfterStoreOutage(t *testing.T) {
 	b, first := newTestBenchWithActingHolder(t, 2)
 	b.disconnected[0], b.disconnected[1] = true, true
 	b.run(4 * time.Second)
@@ -97,7 +97,7 @@
 	b.assertPause(t, 1-first, arrived)
 }
 
-func TestResignedLeasePassesQuickly(t *testing.T) {
+func TestResignedLeaseIsTakenOverImmediately(t *testing.T) {
 	b := newTestBench(2)
 	b.run(2 * time.Second)
 	first := b.onlyHolder(t)
@@ -236,9 +236,9 @@
 	})
 }
 
-// TestUnansweredActsAreToldOn checks that all later holders know the targets of unanswered acts,
+// TestUnansweredActsAreInherited checks that all later holders know the targets of unanswered acts,
 // and only those, for as long as the acts may take effect.
-func TestUnansweredActsAreToldOn(t *testing.T) {
+func TestUnansweredActsAreInherited(t *testing.T) {
 	const lateFor = 10 * time.Second
 	b := newTestBench(3)
 	for i, lease := range b.leases {
--- a/internal/version/rollout/evacuation_test.go
+++ b/internal/version/rollout/evacuation_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestEvacuatedReplicasAreNoCapacity checks that groups are balanced among the serving replicas
-// alone, and that evacuated replicas keep their model.
-func TestEvacuatedReplicasAreNoCapacity(t *testing.T) {
+// TestEvacuatedReplicasDoNotCountAsCapacity checks that groups are balanced among the serving
+// replicas alone, and that evacuated replicas keep their model.
+func TestEvacuatedReplicasDoNotCountAsCapacity(t *testing.T) {
 	list := replicas(40, "a", "b")
 	targets := map[string]int64{"a": 2, "b": 2}
 	var g groups
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestAllEvacuatedOfAFewReplicas checks that with too few replicas for groups, each follows all
-// models even while all of them are evacuated.
-func TestAllEvacuatedOfAFewReplicas(t *testing.T) {
+// TestAllReplicasEvacuatedWithoutGroups checks that with too few replicas for groups, each follows
+// all models even while all of them are evacuated.
+func TestAllReplicasEvacuatedWithoutGroups(t *testing.T) {
 	b := newTestBench(6)
 	for _, e := range b.endpoints {
 		e.Evacuated = true
--- a/internal/version/rollout/exchange_test.go
+++ b/internal/version/rollout/exchange_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestExchangeEnds checks that the model with longer texts ends up with all fast replicas, and that
-// exchanges then stop.
-func TestExchangeEnds(t *testing.T) {
+// TestExchangeConverges checks that the model with longer texts ends up with all fast replicas, and
+// that exchanges then stop.
+func TestExchangeConverges(t *testing.T) {
 	g, list, seen, targets := newExchangeTest(1)
 	x := groupExchange{groups: g, members: list, targets: targets, maxLengths: map[string]int64{"a": 160, "b": 90}, basePaces: seen}
 	for range 8 {
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestNatureIsTheLeastPace checks that a temporary slowdown does not change a replica's base pace.
-func TestNatureIsTheLeastPace(t *testing.T) {
+// TestBasePaceIsFastestPace checks that a temporary slowdown does not change a replica's base pace.
+func TestBasePaceIsFastestPace(t *testing.T) {
 	now, list, seen := time.Unix(1000, 0), replicas(2, "a"), basePaces{}
 	list[0].LearnPace(now, 50*time.Millisecond)
 	seen.update(now, list)
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestReplicasThatLoadStay checks that replicas with a pending order are not exchanged.
-func TestReplicasThatLoadStay(t *testing.T) {
+// TestLoadingReplicasAreNotExchanged checks that replicas with a pending order are not exchanged.
+func TestLoadingReplicasAreNotExchanged(t *testing.T) {
 	g, list, seen, targets := newExchangeTest(1)
 	ordered := map[string]bool{}
 	for _, e := range list[:8] {
--- a/internal/version/rollout/group_test.go
+++ b/internal/version/rollout/group_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestGroupsStayWhenReplicasGo(t *testing.T) {
+func TestGroupsStableWhenReplicasRemoved(t *testing.T) {
 	list := replicas(30, "a", "b", "c")
 	targets := map[string]int64{"a": 2, "b": 2, "c": 2}
 	var g groups
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestNewHolderFindsTheSameGroups(t *testing.T) {
+func TestNewHolderReconstructsGroups(t *testing.T) {
 	list := replicas(30, "a", "b", "c")
 	targets := map[string]int64{"a": 7, "b": 5, "c": 9}
 	var first groups
--- a/internal/version/rollout/limit_test.go
+++ b/internal/version/rollout/limit_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestLimitFindsWhatTheSourceBears(t *testing.T) {
+func TestLimitAdaptsToSourceCapacity(t *testing.T) {
 	for _, c := range []struct{ replicas, capacity, least, most int }{
 		{9, 2, 2, 3}, {45, 9, 8, 15}, {48, 4, 3, 7}, {48, 14, 12, 16}, {3, 2, 2, 2}, {128, 26, 25, 40},
 	} {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestSlowLoadOfOneReplicaIsNoLimit(t *testing.T) {
+func TestSingleSlowLoadKeepsLimit(t *testing.T) {
 	var limit loadLimit
 	before := limit.atOnce(45)
 	limit.finished(observe(time.Second), 1)
--- a/internal/version/rollout/queue_test.go
+++ b/internal/version/rollout/queue_test.go
@@ -17,8 +17,9 @@
 	return list
 }
 
-// TestMerge checks that no model's loads wait until all replicas of another model have loaded.
-func TestMerge(t *testing.T) {
+// TestMergeQueues checks that no model's loads wait until all replicas of another model have
+// loaded.
+func TestMergeQueues(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		queues []*loadQueue
--- a/internal/version/rollout/restart_test.go
+++ b/internal/version/rollout/restart_test.go
@@ -8,9 +8,9 @@
 	"github.com/doorstep/doorstep/internal/process/endpoint"
 )
 
-// TestReportsOfAnotherLife checks that no order is based on a report with another start time than
-// the record. A report without a start time is accepted.
-func TestReportsOfAnotherLife(t *testing.T) {
+// TestReportsOfAnotherIncarnation checks that no order is based on a report with another start time
+// than the record. A report without a start time is accepted.
+func TestReportsOfAnotherIncarnation(t *testing.T) {
 	listed := time.Unix(900, 0)
 	for _, c := range []struct {
 		name      string
@@ -40,9 +40,9 @@
 	b.endpoints[index] = next
 }
 
-// TestOrdersOfAFormerLife checks that an unanswered order that arrives after a restart does not
-// revert the replica to an older version.
-func TestOrdersOfAFormerLife(t *testing.T) {
+// TestOrdersOfPreviousIncarnation checks that an unanswered order that arrives after a restart does
+// not revert the replica to an older version.
+func TestOrdersOfPreviousIncarnation(t *testing.T) {
 	b := newTestBench(1)
 	b.run(time.Second)
 	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -137,7 +137,7 @@
 	return count
 }
 
-func TestHalfMoveAtEachVersion(t *testing.T) {
+func TestHalfOfReplicasLoadEachVersion(t *testing.T) {
 	b := newTestBench(6)
 	b.run(time.Second)
 	for version := int64(2); version <= 6; version++ {
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestStragglersMoveToTheNewest(t *testing.T) {
+func TestOutdatedReplicasLoadNewestVersion(t *testing.T) {
 	b := newTestBench(4)
 	b.run(time.Second)
 	b.rollout.Name(port.VersionTarget{Model: "m", Version: 5})
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestLeavingReplicasAreLeftAlone(t *testing.T) {
+func TestDrainingReplicasAreNotOrdered(t *testing.T) {
 	b := newTestBench(2)
 	b.endpoints[0].Draining, b.endpoints[1].Draining = true, true
 	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestLateOrdersDoNoHarm(t *testing.T) {
+func TestDelayedOrdersAreRejected(t *testing.T) {
 	b := newTestBench(1)
 	b.run(time.Second)
 	b.holdOrders = true
--- a/internal/version/routes/homes_test.go
+++ b/internal/version/routes/homes_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestHomesThatNarrowUnderARequest checks that a request in progress is restricted by both its own
-// and the current version of its route.
-func TestHomesThatNarrowUnderARequest(t *testing.T) {
+// TestHomesChangeDuringRequest checks that a request in progress is restricted by both its own and
+// the current version of its route.
+func TestHomesChangeDuringRequest(t *testing.T) {
 	olderRoute := newTable(1).Match("h", "/x")
 	narrowed := newTable(2, "north")
 	if homes := narrowed.Homes(olderRoute, ""); !homes.Allow("north") || homes.Allow("south") {
--- a/internal/version/routes/routes_test.go
+++ b/internal/version/routes/routes_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestSplitLeavesOutWhatHasNoWeight(t *testing.T) {
+func TestSplitSkipsBackendsWithoutWeight(t *testing.T) {
 	route := &port.Route{Name: "r", Backends: []port.Backend{{Service: "a", Weight: 0}, {Service: "b", Weight: 1}}}
 	splitter := NewSplitter(0.1)
 	for range 20 {
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -93,7 +93,7 @@
 	return list
 }
 
-func TestReplicasFollowTheWork(t *testing.T) {
+func TestReplicasScaleWithWork(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		zones []int
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestReplicasAreGivenBackLate checks that replicas are not removed during a short pause.
-func TestReplicasAreGivenBackLate(t *testing.T) {
+// TestReplicasAreRemovedAfterDelay checks that replicas are not removed during a short pause.
+func TestReplicasAreRemovedAfterDelay(t *testing.T) {
 	b := newTestBench(10)
 	b.service.Items = 160
 	b.run(10 * time.Second)
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestNothingIsOrderedBeforeTheListIsKnown checks that an incomplete list does not lead to an
-// order, which would remove replicas.
-func TestNothingIsOrderedBeforeTheListIsKnown(t *testing.T) {
+// TestNoOrdersBeforeListIsComplete checks that an incomplete list does not lead to an order, which
+// would remove replicas.
+func TestNoOrdersBeforeListIsComplete(t *testing.T) {
 	b := newTestBench(0, 0, 0)
 	b.listedSince = b.now
 	b.service.Items = 60
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestLapsedReplicasAreNotTakenAway checks that replicas whose records expired during a store
+// TestReplicasWithExpiredRecordsAreKept checks that replicas whose records expired during a store
 // outage are not removed.
-func TestLapsedReplicasAreNotTakenAway(t *testing.T) {
+func TestReplicasWithExpiredRecordsAreKept(t *testing.T) {
 	b := newTestBench(9)
 	b.service.Items = 60
 	b.run(10 * time.Second)
@@ -218,8 +218,8 @@
 	}
 }
 
-// TestNoReplicaTellsItsSlots checks that the minimum is ordered if the number of slots is unknown.
-func TestNoReplicaTellsItsSlots(t *testing.T) {
+// TestUnknownNumberOfSlots checks that the minimum is ordered if the number of slots is unknown.
+func TestUnknownNumberOfSlots(t *testing.T) {
 	b := newTestBench(0, 0)
 	b.service.Min = 2
 	b.service.Items = 300
@@ -265,9 +265,9 @@
 	}
 }
 
-// TestNothingIsGivenBackAtOnceAfterAReturn checks that replicas added during an evacuation are not
+// TestNoRemovalImmediatelyAfterEvacuation checks that replicas added during an evacuation are not
 // removed immediately after it.
-func TestNothingIsGivenBackAtOnceAfterAReturn(t *testing.T) {
+func TestNoRemovalImmediatelyAfterEvacuation(t *testing.T) {
 	b := newTestBench(5, 5)
 	b.service.Items = 160
 	b.service.Zones[0].Evacuated = true
--- a/internal/version/usage/clock_test.go
+++ b/internal/version/usage/clock_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestClockFollowsOnlyWhatLasts checks that clocks that jump temporarily do not move the windows,
+// TestClockIgnoresTemporaryJumps checks that clocks that jump temporarily do not move the windows,
 // while an offset that a majority agrees on for long does.
-func TestClockFollowsOnlyWhatLasts(t *testing.T) {
+func TestClockIgnoresTemporaryJumps(t *testing.T) {
 	const exact, jump = time.Duration(1_000_000 * int64(time.Second)), 2 * time.Second
 	for _, c := range []struct {
 		name string
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// TestSumsAreFixedBeforeTheyAreSent checks that a second holder sends the sum that the first one
-// stored even if it knows of more requests, since the first holder's call may still arrive.
-func TestSumsAreFixedBeforeTheyAreSent(t *testing.T) {
+// TestSumIsStoredBeforeItIsSent checks that a second holder sends the sum that the first one stored
+// even if it knows of more requests, since the first holder's call may still arrive.
+func TestSumIsStoredBeforeItIsSent(t *testing.T) {
 	b := newTestBench(2)
 	first := b.nodes[0]
 	b.run(11 * time.Second)
@@ -299,9 +299,9 @@
 	}
 }
 
-// TestStoppingNodesDoNotPressTheStore checks that a stopping node limits its writes while the store
+// TestStoppingNodeLimitsWrites checks that a stopping node limits its writes while the store
 // rejects them.
-func TestStoppingNodesDoNotPressTheStore(t *testing.T) {
+func TestStoppingNodeLimitsWrites(t *testing.T) {
 	b := newTestBench(1)
 	n := b.nodes[0]
 	b.run(11 * time.Second)
@@ -322,8 +322,8 @@
 	}
 }
 
-// TestUnreadableReportsAreToldOf checks that a window with an undecodable report is skipped.
-func TestUnreadableReportsAreToldOf(t *testing.T) {
+// TestUndecodableReportIsSkipped checks that a window with an undecodable report is skipped.
+func TestUndecodableReportIsSkipped(t *testing.T) {
 	b := newTestBench(1)
 	b.run(7 * time.Second)
 	key := reportKey(startTime.Unix()/5 + 1)
