--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -125,7 +125,7 @@
 		n.onEvacuations(now, change.Evacuations, whole)
 	}
 	for _, target := range change.Targets {
-		n.rollout.Name(target)
+		n.rollout.SetTarget(target)
 	}
 	silent := whole && len(change.Replicas) > mostAddedLines
 	listed := n.putReplicas(now, change.Replicas, silent)
--- a/internal/version/rollout/evacuation_test.go
+++ b/internal/version/rollout/evacuation_test.go
@@ -18,7 +18,7 @@
 	}
 	b.run(time.Second)
 	for version := int64(2); version <= 5; version++ {
-		b.rollout.Name(port.VersionTarget{Model: "m", Version: version})
+		b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: version})
 		b.run(6 * time.Second)
 		serving := 0
 		for _, e := range b.endpoints[8:] {
@@ -45,7 +45,7 @@
 		e.Evacuated = true
 	}
 	b.run(time.Second)
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 4})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 4})
 	b.run(500 * time.Millisecond)
 	if len(b.sent) == 0 {
 		t.Fatal("no order was sent")
@@ -111,7 +111,7 @@
 	}
 	for version := int64(2); version <= 4; version++ {
 		for _, name := range []string{"m", "other"} {
-			b.rollout.Name(port.VersionTarget{Model: name, Version: version})
+			b.rollout.SetTarget(port.VersionTarget{Model: name, Version: version})
 		}
 		b.run(16 * time.Second)
 	}
--- a/internal/version/rollout/exchange_test.go
+++ b/internal/version/rollout/exchange_test.go
@@ -119,8 +119,8 @@
 	}
 	const versions = 10
 	for version := int64(2); version <= versions; version++ {
-		b.rollout.Name(port.VersionTarget{Model: "a", Version: version})
-		b.rollout.Name(port.VersionTarget{Model: "b", Version: version})
+		b.rollout.SetTarget(port.VersionTarget{Model: "a", Version: version})
+		b.rollout.SetTarget(port.VersionTarget{Model: "b", Version: version})
 		b.run(4 * time.Second)
 	}
 	for i, e := range b.endpoints {
--- a/internal/version/rollout/restart_test.go
+++ b/internal/version/rollout/restart_test.go
@@ -22,7 +22,7 @@
 			e.StartedAt = listed
 			b.generators[e.ID].StartedAt = c.startedAt
 		}
-		b.rollout.Name(port.VersionTarget{Model: "m", Version: 2})
+		b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 2})
 		b.run(5 * time.Second)
 		if got := b.orders > 0; got != c.orders {
 			t.Errorf("%s: %d orders sent", c.name, b.orders)
@@ -45,14 +45,14 @@
 func TestOrdersOfPreviousIncarnation(t *testing.T) {
 	b := newTestBench(1)
 	b.run(time.Second)
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 	b.run(3 * time.Second)
 	b.holdOrders = true
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 5})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 5})
 	b.run(time.Second)
 	b.holdOrders = false
 	b.restart(0)
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 7})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 7})
 	b.run(3 * time.Second)
 	before := b.generators["r0"].Version(b.now, "m")
 	for _, deliver := range b.heldOrders {
@@ -75,10 +75,10 @@
 	b := newTestBench(1)
 	b.run(time.Second)
 	b.holdOrders = true
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 	b.run(time.Second)
 	b.holdOrders = false
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 5})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 5})
 	b.run(5 * time.Second)
 	before := b.generators["r0"].Version(b.now, "m")
 	b.restart(0)
@@ -98,10 +98,10 @@
 		b := newTestBench(1)
 		b.run(time.Second)
 		b.holdOrders, b.answersProbes = true, true
-		b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+		b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 		b.run(time.Second)
 		b.holdOrders = false
-		b.rollout.Name(port.VersionTarget{Model: "m", Version: 5})
+		b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 5})
 		b.run(after - time.Second)
 		before := b.generators["r0"].Version(b.now, "m")
 		b.restart(0)
@@ -145,12 +145,12 @@
 			b.run(time.Second)
 			version := int64(3)
 			for range c.taken {
-				b.rollout.Name(port.VersionTarget{Model: "m", Version: version})
+				b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: version})
 				b.run(3 * time.Second)
 				version += 2
 			}
 			b.holdOrders, b.answersProbes = true, true
-			b.rollout.Name(port.VersionTarget{Model: "m", Version: version})
+			b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: version})
 			b.run(time.Second)
 			b.holdOrders = false
 			b.start(c.holder, c.incarnation)
@@ -158,7 +158,7 @@
 			if c.restartsEarly {
 				b.restart(0)
 			}
-			b.rollout.Name(port.VersionTarget{Model: "m", Version: version + 2})
+			b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: version + 2})
 			b.run(5 * time.Second)
 			if !c.restartsEarly {
 				b.restart(0)
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -63,9 +63,9 @@
 	return &Rollout{options: options, targets: map[string]int64{}, replicas: map[string]*replicaState{}, basePaces: basePaces{}, loadLimits: map[string]*loadLimit{}}
 }
 
-// Name sets a model's target version. Versions that are not newer than the current target are
+// SetTarget sets a model's target version. Versions that are not newer than the current target are
 // ignored.
-func (r *Rollout) Name(target port.VersionTarget) {
+func (r *Rollout) SetTarget(target port.VersionTarget) {
 	if target.Version <= r.targets[target.Model] {
 		return
 	}
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -141,7 +141,7 @@
 	b := newTestBench(6)
 	b.run(time.Second)
 	for version := int64(2); version <= 6; version++ {
-		b.rollout.Name(port.VersionTarget{Model: "m", Version: version})
+		b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: version})
 		before := b.orders
 		b.run(6 * time.Second)
 		count := b.versions()
@@ -160,8 +160,8 @@
 func TestOutdatedReplicasLoadNewestVersion(t *testing.T) {
 	b := newTestBench(4)
 	b.run(time.Second)
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 5})
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 5})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 	b.run(8 * time.Second)
 	if count := b.versions(); count[5] != 4 {
 		t.Errorf("versions %v, want 5 on all replicas", count)
@@ -171,7 +171,7 @@
 func TestDrainingReplicasAreNotOrdered(t *testing.T) {
 	b := newTestBench(2)
 	b.endpoints[0].Draining, b.endpoints[1].Draining = true, true
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 	b.run(4 * time.Second)
 	if b.orders != 0 {
 		t.Errorf("%d orders sent to draining replicas", b.orders)
@@ -182,7 +182,7 @@
 	b := newTestBench(1)
 	b.run(time.Second)
 	b.holdOrders = true
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 	b.run(3 * time.Second)
 	b.holdOrders = false
 	b.run(4 * time.Second)
@@ -203,7 +203,7 @@
 	b := newTestBench(6)
 	b.run(time.Second)
 	for version := int64(2); version <= 6; version++ {
-		b.rollout.Name(port.VersionTarget{Model: "m", Version: version})
+		b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: version})
 		b.run(4 * time.Second)
 	}
 	if len(b.sent) == 0 {
@@ -221,7 +221,7 @@
 	b := newTestBench(6)
 	b.run(time.Second)
 	b.fenced = true
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 	b.run(10 * time.Second)
 	refused := map[int64]int{}
 	for _, order := range b.sent {
@@ -251,7 +251,7 @@
 	b.run(time.Second)
 	for version := int64(2); version <= 8; version++ {
 		for _, model := range models {
-			b.rollout.Name(port.VersionTarget{Model: model, Version: version})
+			b.rollout.SetTarget(port.VersionTarget{Model: model, Version: version})
 		}
 		b.run(4 * time.Second)
 		for _, model := range models {
@@ -273,7 +273,7 @@
 	b := newTestBench(120)
 	b.reportLag = 150 * time.Millisecond
 	b.run(time.Second)
-	b.rollout.Name(port.VersionTarget{Model: "m", Version: 3})
+	b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: 3})
 	b.run(2500 * time.Millisecond)
 	if want := int(rampLoadFraction * 120); b.maxLoading < want {
 		t.Errorf("%d replicas loaded concurrently after two rounds, want at least %d", b.maxLoading, want)
