--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -41,8 +41,8 @@
 	Endpoints func(now time.Time, models []string) []*endpoint.Endpoint
 	// Demand returns the number of tokens that trainers recently requested, by model.
 	Demand func(now time.Time) map[string]int64
-	// Longest returns the length of each model's longest texts in events, as far as known.
-	Longest func(now time.Time) map[string]int64
+	// MaxTextLengths returns the length of each model's longest texts in events, as far as known.
+	MaxTextLengths func(now time.Time) map[string]int64
 	// WallClock returns the node's wall-clock time. If nil, the times passed in are used.
 	WallClock func(now time.Time) time.Time
 }
@@ -117,7 +117,7 @@
 	r.groups.assignEvacuated(evacuated, r.targets, demand)
 	r.basePaces.update(now, serving)
 	exchange := groupExchange{
-		groups: &r.groups, members: serving, targets: r.targets, maxLengths: r.options.Longest(now), basePaces: r.basePaces, loading: r.replicasWithOrders(serving),
+		groups: &r.groups, members: serving, targets: r.targets, maxLengths: r.options.MaxTextLengths(now), basePaces: r.basePaces, loading: r.replicasWithOrders(serving),
 	}
 	exchange.run()
 	atOnce := limit.atOnce(len(members))
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -61,8 +61,8 @@
 		Clock:    func(now time.Time) (least, most time.Duration, known bool) { return 0, 0, true },
 		LateFor:  LateFor, Unanswered: func(now time.Time) []string { return b.rollout.Unanswered(now) }})
 	b.rollout = New(Options{Self: name, Queue: b.queue, Lease: b.lease, Endpoints: func(time.Time, []string) []*endpoint.Endpoint { return b.endpoints },
-		Demand:  func(time.Time) map[string]int64 { return b.demand },
-		Longest: func(time.Time) map[string]int64 { return b.longest }})
+		Demand:         func(time.Time) map[string]int64 { return b.demand },
+		MaxTextLengths: func(time.Time) map[string]int64 { return b.longest }})
 }
 
 // readLease delivers the lease record to the node.
