--- a/internal/version/rollout/restart_test.go
+++ b/internal/version/rollout/restart_test.go
@@ -94,7 +94,7 @@
 // TestNewerVersionsWaitForAnUnansweredFirstOrder checks that no newer version is loaded while an
 // unanswered first order could still take effect after a restart.
 func TestNewerVersionsWaitForAnUnansweredFirstOrder(t *testing.T) {
-	for _, after := range []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, LateFor - time.Second} {
+	for _, after := range []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, MaxOrderDelay - time.Second} {
 		b := newTestBench(1)
 		b.run(time.Second)
 		b.holdOrders, b.answersProbes = true, true
@@ -112,7 +112,7 @@
 		if got := b.generators["r0"].Version(b.now, "m"); len(b.heldOrders) == 0 || got < before {
 			t.Errorf("%d orders delayed by %s; version went from %d to %d", len(b.heldOrders), after, before, got)
 		}
-		b.run(2 * LateFor)
+		b.run(2 * MaxOrderDelay)
 		if got := b.generators["r0"].Version(b.now, "m"); got != 5 {
 			t.Errorf("orders delayed by %s: final version %d, want 5", after, got)
 		}
@@ -171,7 +171,7 @@
 			if got := b.generators["r0"].Version(b.now, "m"); len(b.heldOrders) == 0 || got < before {
 				t.Errorf("%d delayed orders; version went from %d to %d", len(b.heldOrders), before, got)
 			}
-			b.run(3 * LateFor)
+			b.run(3 * MaxOrderDelay)
 			if got := b.generators["r0"].Version(b.now, "m"); got != version+2 {
 				t.Errorf("final version %d, want %d", got, version+2)
 			}
--- a/internal/version/rollout/state.go
+++ b/internal/version/rollout/state.go
@@ -76,7 +76,7 @@
 	if r.options.WallClock != nil {
 		now = r.options.WallClock(now)
 	}
-	return state.report.Sequence < 2 || now.Sub(startedAt) < LateFor+maxClockSkew
+	return state.report.Sequence < 2 || now.Sub(startedAt) < MaxOrderDelay+maxClockSkew
 }
 
 // discardAllButUnanswered drops all state except the unanswered orders, which outlive the lease.
--- a/internal/version/rollout/unanswered.go
+++ b/internal/version/rollout/unanswered.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// LateFor is how long after it was sent an unanswered order may still take effect.
-const LateFor = 10 * time.Second
+// MaxOrderDelay is how long after it was sent an unanswered order may still take effect.
+const MaxOrderDelay = 10 * time.Second
 
 // unansweredOrder is an order that takes effect if the replica's sequence number matches.
 type unansweredOrder struct {
@@ -22,7 +22,7 @@
 type unansweredOrders []unansweredOrder
 
 func (u *unansweredOrders) add(now time.Time, model string, version, sequence int64) {
-	*u = append(u.pending(now), unansweredOrder{model: model, version: version, sequence: sequence, expiresAt: now.Add(LateFor)})
+	*u = append(u.pending(now), unansweredOrder{model: model, version: version, sequence: sequence, expiresAt: now.Add(MaxOrderDelay)})
 }
 
 // remove drops the order with the given sequence number once its outcome is known.
