--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -49,7 +49,7 @@
 }
 
 // newLease returns a lease of this node.
-func (n *Node) newLease(key string, cadence recordlease.Cadence, fenced bool) *recordlease.Lease {
+func (n *Node) newLease(key string, cadence recordlease.Timing, fenced bool) *recordlease.Lease {
 	return n.addLease(n.leaseOptions(key, cadence, fenced))
 }
 
@@ -61,7 +61,7 @@
 	return n.addLease(options)
 }
 
-func (n *Node) leaseOptions(key string, cadence recordlease.Cadence, fenced bool) recordlease.Options {
+func (n *Node) leaseOptions(key string, cadence recordlease.Timing, fenced bool) recordlease.Options {
 	return recordlease.Options{
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
 		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Cadence: cadence,
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -26,7 +26,7 @@
 	Incarnation uint64
 	Queue       *task.Queue
 	// Cadence defaults to Prompt.
-	Cadence Cadence
+	Cadence Timing
 	// Pause is the minimum time between the acts of two holders on a target.
 	Pause time.Duration
 	// Fenced states that targets reject acts with an older fence. A new holder then need not wait
@@ -84,7 +84,7 @@
 
 // New returns a lease whose record has not been read.
 func New(options Options) *Lease {
-	if options.Cadence == (Cadence{}) {
+	if options.Cadence == (Timing{}) {
 		options.Cadence = Prompt
 	}
 	return &Lease{options: options, record: &doorstepv1.OrderLease{}}
--- a/internal/version/recordlease/timing.go
+++ b/internal/version/recordlease/timing.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Cadence holds the renewal and takeover times of a lease.
-type Cadence struct {
+// Timing holds the renewal and takeover times of a lease.
+type Timing struct {
 	// Validity is how long a renewal is valid after it was sent.
 	Validity time.Duration
 	// RenewEvery is the interval between renewals.
@@ -15,8 +15,8 @@
 
 var (
 	// Prompt is for duties that callers wait for.
-	Prompt = Cadence{Validity: 1500 * time.Millisecond, RenewEvery: 500 * time.Millisecond, TakeoverAfter: 2 * time.Second, TakeoverSpread: 700 * time.Millisecond}
+	Prompt = Timing{Validity: 1500 * time.Millisecond, RenewEvery: 500 * time.Millisecond, TakeoverAfter: 2 * time.Second, TakeoverSpread: 700 * time.Millisecond}
 	// Unhurried is for duties that tolerate some seconds of delay. It halves the number of
 	// renewals, each of which is sent to all nodes.
-	Unhurried = Cadence{Validity: 2500 * time.Millisecond, RenewEvery: time.Second, TakeoverAfter: 3 * time.Second, TakeoverSpread: 700 * time.Millisecond}
+	Unhurried = Timing{Validity: 2500 * time.Millisecond, RenewEvery: time.Second, TakeoverAfter: 3 * time.Second, TakeoverSpread: 700 * time.Millisecond}
 )
