--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -64,7 +64,7 @@
 func (n *Node) leaseOptions(key string, cadence recordlease.Timing, fenced bool) recordlease.Options {
 	return recordlease.Options{
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
-		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Cadence: cadence,
+		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Timing: cadence,
 		Fenced: fenced, StartedAt: n.startedAt,
 		Jitter: n.random.Float64(), Nodes: n.Nodes, Observed: n.observed, Clock: n.clock.bounds,
 	}
--- a/internal/version/recordlease/pause.go
+++ b/internal/version/recordlease/pause.go
@@ -30,7 +30,7 @@
 	start := l.changedAt
 	if l.record.Holder != "" {
 		// The previous holder may act until its last renewal expires.
-		start = start.Add(l.options.Cadence.Validity)
+		start = start.Add(l.options.Timing.Validity)
 	}
 	return max(start.Add(l.options.Pause+pauseMargin).Sub(now), 0)
 }
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -25,8 +25,8 @@
 	Holder      string
 	Incarnation uint64
 	Queue       *task.Queue
-	// Cadence defaults to Prompt.
-	Cadence Timing
+	// Timing defaults to Prompt.
+	Timing Timing
 	// Pause is the minimum time between the acts of two holders on a target.
 	Pause time.Duration
 	// Fenced states that targets reject acts with an older fence. A new holder then need not wait
@@ -84,8 +84,8 @@
 
 // New returns a lease whose record has not been read.
 func New(options Options) *Lease {
-	if options.Cadence == (Timing{}) {
-		options.Cadence = Prompt
+	if options.Timing == (Timing{}) {
+		options.Timing = Prompt
 	}
 	return &Lease{options: options, record: &doorstepv1.OrderLease{}}
 }
@@ -245,8 +245,8 @@
 	if l.record.Holder == "" || l.record.Holder == l.options.Holder {
 		return true
 	}
-	jitter := time.Duration(l.options.Jitter * float64(SpreadOver(l.options.Cadence.TakeoverSpread, l.options.Nodes)))
-	return observed.Sub(l.changedAt) >= l.options.Cadence.TakeoverAfter+jitter
+	jitter := time.Duration(l.options.Jitter * float64(SpreadOver(l.options.Timing.TakeoverSpread, l.options.Nodes)))
+	return observed.Sub(l.changedAt) >= l.options.Timing.TakeoverAfter+jitter
 }
 
 func (l *Lease) acquire(now time.Time) {
@@ -277,7 +277,7 @@
 		}
 		l.held = true
 		l.fence = result.Revision
-		l.validUntil = sentAt.Add(l.options.Cadence.Validity)
+		l.validUntil = sentAt.Add(l.options.Timing.Validity)
 		l.declared = targetsOf(next)
 		l.options.Queue.Log(event.LeaseAcquired, "lease", l.options.Key.Key, "fence", l.fence, "former", previous.Holder,
 			"owed_ms", max(0, l.pauseRemaining(now)).Milliseconds())
@@ -295,9 +295,9 @@
 	l.commit(now, next, func(now, sentAt time.Time, result port.RecordResult) {
 		switch {
 		case result.Status == port.RecordDone:
-			l.validUntil = sentAt.Add(l.options.Cadence.Validity)
+			l.validUntil = sentAt.Add(l.options.Timing.Validity)
 			l.declared = targets
-			l.nextTick = sentAt.Add(l.options.Cadence.RenewEvery)
+			l.nextTick = sentAt.Add(l.options.Timing.RenewEvery)
 		default:
 			l.onConflict(now, result)
 		}
