--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -85,7 +85,7 @@
 // New returns a lease whose record has not been read.
 func New(options Options) *Lease {
 	if options.Timing == (Timing{}) {
-		options.Timing = Prompt
+		options.Timing = FastTiming
 	}
 	return &Lease{options: options, record: &doorstepv1.OrderLease{}}
 }
--- a/internal/version/recordlease/recordlease_test.go
+++ b/internal/version/recordlease/recordlease_test.go
@@ -25,7 +25,7 @@
 	b.run(2 * time.Second)
 	first := b.onlyHolder(t)
 	b.disconnected[first] = true
-	b.run(Prompt.Validity + 100*time.Millisecond)
+	b.run(FastTiming.Validity + 100*time.Millisecond)
 	if len(b.holders()) != 0 {
 		t.Error("a holder that cannot renew still holds the lease after its validity")
 	}
@@ -84,7 +84,7 @@
 		b.run(50 * time.Millisecond)
 	}
 	b.disconnected[second] = true
-	b.run(Prompt.Validity + 100*time.Millisecond)
+	b.run(FastTiming.Validity + 100*time.Millisecond)
 	b.disconnected[second] = false
 	b.assertPause(t, second, acted)
 }
@@ -198,7 +198,7 @@
 	b, first := newTestBenchWithActingHolder(t, 2)
 	b.run(b.leases[first].options.Pause + maxActDuration + pauseMargin - 100*time.Millisecond)
 	b.loseAnswers[first] = true
-	b.run(Prompt.RenewEvery + 100*time.Millisecond)
+	b.run(FastTiming.RenewEvery + 100*time.Millisecond)
 	if !b.leases[first].Held(b.now) {
 		t.Fatal("the lease is not held")
 	}
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -210,7 +210,7 @@
 		t.Fatal("no order was sent")
 	}
 	for i, order := range b.sent {
-		if order.Limit <= 0 || order.Limit > b.leaseLeft[i] || order.Limit > recordlease.Prompt.Validity {
+		if order.Limit <= 0 || order.Limit > b.leaseLeft[i] || order.Limit > recordlease.FastTiming.Validity {
 			t.Errorf("order %d has a limit of %s, but the lease is held for %s", i, order.Limit, b.leaseLeft[i])
 		}
 	}
