--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -87,7 +87,7 @@
 }
 
 func (n *Node) newUsageDuty(windows usage.Windows) *usageDuty {
-	d := &usageDuty{clock: usage.Clock{Windows: windows}, lease: n.newLease(usageLeaseKey, recordlease.Unhurried, n.options.Duties.Fenced)}
+	d := &usageDuty{clock: usage.Clock{Windows: windows}, lease: n.newLease(usageLeaseKey, recordlease.SlowTiming, n.options.Duties.Fenced)}
 	d.keeper = &usage.ClockKeeper{
 		Queue: n.queue, Lease: d.lease, Clock: &d.clock, StartedAt: n.startedAt, StoreClock: n.clock.reading,
 		Key:      port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: UsageClockKey},
@@ -119,7 +119,7 @@
 }
 
 func (n *Node) newScalingDuty() *scalingDuty {
-	d := &scalingDuty{lease: n.newLease(scalingLeaseKey, recordlease.Unhurried, n.options.Duties.Fenced)}
+	d := &scalingDuty{lease: n.newLease(scalingLeaseKey, recordlease.SlowTiming, n.options.Duties.Fenced)}
 	d.scaler = scaling.New(scaling.Options{
 		Self: n.options.Name, Queue: n.queue, Lease: d.lease, Services: n.scaledServices,
 		ListedSince: n.listedSince,
--- a/internal/version/recordlease/timing.go
+++ b/internal/version/recordlease/timing.go
@@ -16,7 +16,7 @@
 var (
 	// FastTiming is for duties that callers wait for.
 	FastTiming = Timing{Validity: 1500 * time.Millisecond, RenewEvery: 500 * time.Millisecond, TakeoverAfter: 2 * time.Second, TakeoverSpread: 700 * time.Millisecond}
-	// Unhurried is for duties that tolerate some seconds of delay. It halves the number of
+	// SlowTiming is for duties that tolerate some seconds of delay. It halves the number of
 	// renewals, each of which is sent to all nodes.
-	Unhurried = Timing{Validity: 2500 * time.Millisecond, RenewEvery: time.Second, TakeoverAfter: 3 * time.Second, TakeoverSpread: 700 * time.Millisecond}
+	SlowTiming = Timing{Validity: 2500 * time.Millisecond, RenewEvery: time.Second, TakeoverAfter: 3 * time.Second, TakeoverSpread: 700 * time.Millisecond}
 )
