--- a/internal/version/batch/standing.go
+++ b/internal/version/batch/standing.go
@@ -52,7 +52,7 @@
 // turn is when this node's turn to take a job comes that nobody runs: spread over less time if this node
 // is one of a few, and behind fitter nodes.
 func (j *Jobs) turn(now time.Time, id string, known *head) (spread, behind time.Duration) {
-	over := recordlease.SpreadOver(takeoverSpread, j.options.Nodes)
+	over := recordlease.TakeoverSpread(takeoverSpread, j.options.Nodes)
 	switch j.standing(now) {
 	case Usual:
 	case Ready:
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -245,7 +245,7 @@
 	if l.record.Holder == "" || l.record.Holder == l.options.Holder {
 		return true
 	}
-	jitter := time.Duration(l.options.Jitter * float64(SpreadOver(l.options.Timing.TakeoverSpread, l.options.Nodes)))
+	jitter := time.Duration(l.options.Jitter * float64(TakeoverSpread(l.options.Timing.TakeoverSpread, l.options.Nodes)))
 	return observed.Sub(l.changedAt) >= l.options.Timing.TakeoverAfter+jitter
 }
 
--- a/internal/version/recordlease/takeover.go
+++ b/internal/version/recordlease/takeover.go
@@ -10,10 +10,10 @@
 	maxTakeoverSpread = 4 * time.Second
 )
 
-// SpreadOver returns the time over which nodes spread their attempts to take over a lease or a job.
+// TakeoverSpread returns the time over which nodes spread their attempts to take over a lease or a job.
 // It grows with the number of nodes and is at least minSpread. nodes may be nil or return 0 if the
 // number is unknown.
-func SpreadOver(minSpread time.Duration, nodes func() int) time.Duration {
+func TakeoverSpread(minSpread time.Duration, nodes func() int) time.Duration {
 	if nodes == nil {
 		return minSpread
 	}
