--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -93,9 +93,9 @@
 // Held reports whether this node holds the lease.
 func (l *Lease) Held(now time.Time) bool { return l.held && now.Before(l.validUntil) }
 
-// Left returns the remaining validity of the lease, or 0 if it is not held. Acts must have arrived
+// Remaining returns the remaining validity of the lease, or 0 if it is not held. Acts must have arrived
 // by then, because the next holder's pause counts from that time.
-func (l *Lease) Left(now time.Time) time.Duration {
+func (l *Lease) Remaining(now time.Time) time.Duration {
 	if !l.Held(now) {
 		return 0
 	}
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -93,7 +93,7 @@
 	state.requestPending = true
 	fence := r.options.Lease.Fence()
 	r.options.Queue.Add(task.Order{
-		Limit: r.options.Lease.Left(now),
+		Limit: r.options.Lease.Remaining(now),
 		Order: r.newOrder(load, fence, port.ProbeSequence),
 		Done: func(now time.Time, status port.VersionOrderStatus) {
 			state.requestPending = false
@@ -131,7 +131,7 @@
 	fence, sequence := r.options.Lease.Fence(), state.sequence
 	state.unanswered.add(now, load.model, load.version, sequence)
 	r.options.Queue.Add(task.Order{
-		Limit: r.options.Lease.Left(now),
+		Limit: r.options.Lease.Remaining(now),
 		Order: r.newOrder(load, fence, sequence),
 		Done: func(now time.Time, status port.VersionOrderStatus) {
 			r.onOrderResult(now, load, state, fence, sequence, status)
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -114,7 +114,7 @@
 			b.orders++
 		}
 		b.sent = append(b.sent, t)
-		b.leaseLeft = append(b.leaseLeft, b.lease.Left(b.now))
+		b.leaseLeft = append(b.leaseLeft, b.lease.Remaining(b.now))
 		if b.fenced {
 			t.Done(b.now, port.VersionOrderFenced)
 			return
--- a/internal/version/scaling/scaling.go
+++ b/internal/version/scaling/scaling.go
@@ -221,7 +221,7 @@
 	last.requestPending = true
 	s.options.Queue.Add(task.OrderReplicas{
 		Order: port.ReplicaOrder{Service: service.Name, Zone: zone.Name, Replicas: target, Holder: s.options.Self, Fence: s.options.Lease.Fence()},
-		Limit: min(s.options.Lease.Left(now), callTimeout),
+		Limit: min(s.options.Lease.Remaining(now), callTimeout),
 		Done:  func(now time.Time, status port.DutyStatus) { s.onOrdered(now, service, zone, target, last, status) },
 	})
 }
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -262,7 +262,7 @@
 	r.requestPending = true
 	r.options.Queue.Add(task.ReportUsage{
 		Report: port.UsageReport{Window: current.window, Requests: maps.Clone(current.requests), Holder: r.options.Self, Fence: fence},
-		Limit:  min(lease.Left(now), sendTimeout),
+		Limit:  min(lease.Remaining(now), sendTimeout),
 		Done: func(now time.Time, status port.DutyStatus) {
 			if r.fence == fence {
 				r.requestPending = false
