--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -102,9 +102,9 @@
 	return l.validUntil.Sub(now)
 }
 
-// Fenced handles the rejection of an act because of a newer fence. This node gives up the lease at
+// OnFenced handles the rejection of an act because of a newer fence. This node gives up the lease at
 // once. It may acquire it again under a newer fence.
-func (l *Lease) Fenced(fence int64) {
+func (l *Lease) OnFenced(fence int64) {
 	if l.held && fence == l.fence {
 		l.lose("act rejected because of a newer fence")
 	}
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -103,7 +103,7 @@
 				state.lastProbeAt = now
 				r.Tick(now)
 			case port.VersionOrderFenced:
-				r.options.Lease.Fenced(fence)
+				r.options.Lease.OnFenced(fence)
 				state.notBefore = now.Add(retryDelay)
 			case port.VersionOrderUnknown, port.VersionOrderRefused:
 				state.notBefore = now.Add(retryDelay)
@@ -154,7 +154,7 @@
 		state.notBefore = now.Add(reportInterval)
 	case port.VersionOrderConflict, port.VersionOrderFenced, port.VersionOrderRefused:
 		if status == port.VersionOrderFenced {
-			r.options.Lease.Fenced(fence)
+			r.options.Lease.OnFenced(fence)
 		}
 		state.orderPending = false
 		state.notBefore = now.Add(retryDelay)
--- a/internal/version/scaling/scaling.go
+++ b/internal/version/scaling/scaling.go
@@ -237,7 +237,7 @@
 			last.listed = &peakTracker{since: now}
 		}
 	case port.DutyFenced:
-		s.options.Lease.Fenced(s.options.Lease.Fence())
+		s.options.Lease.OnFenced(s.options.Lease.Fence())
 	case port.DutyUnknown, port.DutyRefused:
 		last.notBefore = now.Add(retryDelay)
 	}
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -286,7 +286,7 @@
 		}
 		r.Tick(now)
 	case port.DutyFenced:
-		r.options.Lease.Fenced(r.fence)
+		r.options.Lease.OnFenced(r.fence)
 	case port.DutyUnknown, port.DutyRefused:
 		r.backOff(now)
 	}
