--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -89,7 +89,7 @@
 func (n *Node) onSharedHealth(now time.Time, healthy bool) {
 	n.jobs.Observing(now, healthy)
 	for _, lease := range n.sortedLeases() {
-		lease.Observing(now, healthy)
+		lease.SetObserving(now, healthy)
 	}
 }
 
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -220,9 +220,9 @@
 	}
 }
 
-// Observing records whether the record can currently be observed. When it becomes observable
+// SetObserving records whether the record can currently be observed. When it becomes observable
 // again, the takeover time restarts, since the holder may have been disconnected as well.
-func (l *Lease) Observing(now time.Time, observing bool) {
+func (l *Lease) SetObserving(now time.Time, observing bool) {
 	if observing {
 		l.changedAt = now
 	}
--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -106,7 +106,7 @@
 	}
 	if b.missedUpdates[i] {
 		b.missedUpdates[i] = false
-		b.leases[i].Observing(now, true)
+		b.leases[i].SetObserving(now, true)
 	}
 	for _, record := range b.store.Range(now, port.RecordRange{Table: "leases"}).Records {
 		b.leases[i].OnRecord(now, record)
