--- a/internal/version/recordlease/fenced_test.go
+++ b/internal/version/recordlease/fenced_test.go
@@ -53,7 +53,7 @@
 			b.leases[first].resigned = false
 		}
 		for end := b.now.Add(10 * time.Second); b.now.Before(end); b.run(50 * time.Millisecond) {
-			if b.leases[first].Act(b.now, target) {
+			if b.leases[first].TryAct(b.now, target) {
 				break
 			}
 		}
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -116,9 +116,9 @@
 // Holder returns the last known holder.
 func (l *Lease) Holder() string { return l.record.Holder }
 
-// Act reports whether the holder may act on a target now, and records the act. The target must be
+// TryAct reports whether the holder may act on a target now, and records the act. The target must be
 // declared in the record first, so the first call may return false until the next renewal.
-func (l *Lease) Act(now time.Time, target string) bool {
+func (l *Lease) TryAct(now time.Time, target string) bool {
 	if !l.Held(now) || l.resigned {
 		return false
 	}
--- a/internal/version/recordlease/recordlease_test.go
+++ b/internal/version/recordlease/recordlease_test.go
@@ -45,13 +45,13 @@
 	b := newTestBench(2)
 	b.run(2 * time.Second)
 	first := b.onlyHolder(t)
-	for !b.leases[first].Act(b.now, target) {
+	for !b.leases[first].TryAct(b.now, target) {
 		b.run(50 * time.Millisecond)
 	}
 	acted := b.now
 	b.disconnected[first] = true
-	for !b.leases[1-first].Act(b.now, target) {
-		if b.leases[first].Act(b.now, target) {
+	for !b.leases[1-first].TryAct(b.now, target) {
+		if b.leases[first].TryAct(b.now, target) {
 			acted = b.now
 		}
 		b.run(50 * time.Millisecond)
@@ -104,7 +104,7 @@
 	b.leases[first].Resign(b.now)
 	b.run(time.Second)
 	second := b.onlyHolder(t)
-	if second == first || !b.leases[second].Act(b.now, target) && !actsWithin(b, second, time.Second) {
+	if second == first || !b.leases[second].TryAct(b.now, target) && !actsWithin(b, second, time.Second) {
 		t.Error("a resigned lease without acts was not taken over immediately")
 	}
 }
@@ -166,7 +166,7 @@
 			b.run(50 * time.Millisecond)
 		}
 		held := b.now
-		for !b.leases[second].Act(b.now, other) {
+		for !b.leases[second].TryAct(b.now, other) {
 			b.run(50 * time.Millisecond)
 		}
 		if waited := b.now.Sub(held); waited > 100*time.Millisecond {
@@ -202,7 +202,7 @@
 	if !b.leases[first].Held(b.now) {
 		t.Fatal("the lease is not held")
 	}
-	if b.leases[first].Act(b.now, target) {
+	if b.leases[first].TryAct(b.now, target) {
 		t.Error("acted on a target that the record may no longer declare")
 	}
 }
--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -150,7 +150,7 @@
 // against the required pause.
 func (b *testBench) assertPause(t *testing.T, i int, acted time.Time) {
 	t.Helper()
-	for !b.leases[i].Act(b.now, target) {
+	for !b.leases[i].TryAct(b.now, target) {
 		b.run(50 * time.Millisecond)
 		if b.now.Sub(acted) > time.Minute {
 			t.Fatal("the next holder was never able to act")
@@ -163,7 +163,7 @@
 
 func actsWithin(b *testBench, index int, length time.Duration) bool {
 	for end := b.now.Add(length); b.now.Before(end); {
-		if b.leases[index].Act(b.now, target) {
+		if b.leases[index].TryAct(b.now, target) {
 			return true
 		}
 		b.run(50 * time.Millisecond)
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -76,7 +76,7 @@
 		state.notBefore = now.Add(retryDelay)
 		return
 	}
-	if !r.options.Lease.Act(now, load.endpoint.ID) {
+	if !r.options.Lease.TryAct(now, load.endpoint.ID) {
 		return
 	}
 	if state.report.Sequence == 0 && now.Sub(state.lastProbeAt) > reportMaxAge {
--- a/internal/version/scaling/scaling.go
+++ b/internal/version/scaling/scaling.go
@@ -215,7 +215,7 @@
 	last := s.zoneStateOf(now, service, zone)
 	repeated := last.replicas == target && now.Sub(last.orderedAt) < service.Boot+startMargin
 	shrinking := target < last.replicas && now.Sub(last.orderedAt) < service.Boot+startMargin
-	if last.requestPending || repeated || shrinking || now.Before(last.notBefore) || !s.options.Lease.Act(now, service.Name+"/"+zone.Name) {
+	if last.requestPending || repeated || shrinking || now.Before(last.notBefore) || !s.options.Lease.TryAct(now, service.Name+"/"+zone.Name) {
 		return
 	}
 	last.requestPending = true
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -255,7 +255,7 @@
 // send sends the report under the lease's fence.
 func (r *Reporter) send(now time.Time) {
 	lease := r.options.Lease
-	if !lease.Act(now, leaseTarget) {
+	if !lease.TryAct(now, leaseTarget) {
 		return
 	}
 	current, fence := r.report, r.fence
