--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -56,7 +56,7 @@
 // newOrderLease returns the lease by which versions are ordered: orders without an answer may be carried out late.
 func (n *Node) newOrderLease() *recordlease.Lease {
 	options := n.leaseOptions(orderLeaseKey, recordlease.FastTiming, false)
-	options.LateFor = rollout.MaxOrderDelay
+	options.MaxActDelay = rollout.MaxOrderDelay
 	options.Unanswered = func(now time.Time) []string { return n.rollout.Unanswered(now) }
 	return n.addLease(options)
 }
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -41,10 +41,10 @@
 	// Clock returns the bounds of the store's monotonic clock. known is false before the first
 	// answer of the store.
 	Clock func(now time.Time) (least, most time.Duration, known bool)
-	// LateFor is how long an unanswered act may still take effect, or 0 if it cannot. Unanswered
+	// MaxActDelay is how long an unanswered act may still take effect, or 0 if it cannot. Unanswered
 	// returns the targets of this node's unanswered acts.
-	LateFor    time.Duration
-	Unanswered func(now time.Time) []string
+	MaxActDelay time.Duration
+	Unanswered  func(now time.Time) []string
 	// Observed returns the time up to which changes of the record have been observed, or zero if
 	// the record has not been read.
 	Observed func(now time.Time) time.Time
@@ -188,7 +188,7 @@
 	}
 	targets := targetsOf(previous)
 	l.inherited.union(&targets)
-	l.inheritedUntil = now.Add(l.options.LateFor)
+	l.inheritedUntil = now.Add(l.options.MaxActDelay)
 }
 
 func (l *Lease) lose(reason string) {
--- a/internal/version/recordlease/recordlease_test.go
+++ b/internal/version/recordlease/recordlease_test.go
@@ -242,7 +242,7 @@
 	const lateFor = 10 * time.Second
 	b := newTestBench(3)
 	for i, lease := range b.leases {
-		lease.options.LateFor = lateFor
+		lease.options.MaxActDelay = lateFor
 		if i == 0 {
 			lease.options.Unanswered = func(time.Time) []string { return []string{target} }
 		}
