--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -66,7 +66,7 @@
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
 		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Timing: cadence,
 		Fenced: fenced, StartedAt: n.startedAt,
-		Jitter: n.random.Float64(), Nodes: n.Nodes, Observed: n.observed, Clock: n.clock.bounds,
+		Jitter: n.random.Float64(), Nodes: n.Nodes, ObservedUntil: n.observed, Clock: n.clock.bounds,
 	}
 }
 
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -45,9 +45,9 @@
 	// returns the targets of this node's unanswered acts.
 	MaxActDelay time.Duration
 	Unanswered  func(now time.Time) []string
-	// Observed returns the time up to which changes of the record have been observed, or zero if
+	// ObservedUntil returns the time up to which changes of the record have been observed, or zero if
 	// the record has not been read.
-	Observed func(now time.Time) time.Time
+	ObservedUntil func(now time.Time) time.Time
 }
 
 // Lease is one node's view of a lease. It must only be used from the node's event loop.
@@ -236,7 +236,7 @@
 // available reports whether the lease may be acquired. The acquisition is conditional on the
 // revision, so an outdated view only costs a failed call.
 func (l *Lease) available(now time.Time) bool {
-	observed := l.options.Observed(now)
+	observed := l.options.ObservedUntil(now)
 	if observed.IsZero() {
 		return false
 	}
--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -32,7 +32,7 @@
 		b.queues = append(b.queues, queue)
 		b.leases = append(b.leases, New(Options{
 			Key: port.RecordKey{Table: "leases", Key: "l"}, Holder: string(rune('a' + i)), Incarnation: 1, Queue: queue, Pause: 3 * time.Second,
-			Observed: func(now time.Time) time.Time { return b.observe(i, now) }, Clock: b.clock,
+			ObservedUntil: func(now time.Time) time.Time { return b.observe(i, now) }, Clock: b.clock,
 		}))
 	}
 	return b
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -57,9 +57,9 @@
 func (b *testBench) start(name string, incarnation uint64) {
 	b.queue = &task.Queue{}
 	b.lease = recordlease.New(recordlease.Options{Key: port.RecordKey{Table: "leases", Key: "l"}, Holder: name, Incarnation: incarnation, Queue: b.queue, Pause: time.Second,
-		Observed:    func(now time.Time) time.Time { return now },
-		Clock:       func(now time.Time) (least, most time.Duration, known bool) { return 0, 0, true },
-		MaxActDelay: MaxOrderDelay, Unanswered: func(now time.Time) []string { return b.rollout.Unanswered(now) }})
+		ObservedUntil: func(now time.Time) time.Time { return now },
+		Clock:         func(now time.Time) (least, most time.Duration, known bool) { return 0, 0, true },
+		MaxActDelay:   MaxOrderDelay, Unanswered: func(now time.Time) []string { return b.rollout.Unanswered(now) }})
 	b.rollout = New(Options{Self: name, Queue: b.queue, Lease: b.lease, Endpoints: func(time.Time, []string) []*endpoint.Endpoint { return b.endpoints },
 		Demand:         func(time.Time) map[string]int64 { return b.demand },
 		MaxTextLengths: func(time.Time) map[string]int64 { return b.longest }})
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -39,8 +39,8 @@
 	b.records = model.NewRecords(b.now, model.RecordsOptions{})
 	b.lease = recordlease.New(recordlease.Options{
 		Key: port.RecordKey{Table: "leases", Key: "l"}, Holder: "a", Incarnation: 1, Queue: b.queue,
-		Observed: func(now time.Time) time.Time { return now },
-		Clock:    func(time.Time) (least, most time.Duration, known bool) { return 0, 0, true },
+		ObservedUntil: func(now time.Time) time.Time { return now },
+		Clock:         func(time.Time) (least, most time.Duration, known bool) { return 0, 0, true },
 	})
 	b.service = Service{Name: "s", Scaling: port.Scaling{Min: 1, Max: 12, Boot: boot}}
 	for i, replicas := range zones {
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -59,7 +59,7 @@
 	n.lease = recordlease.New(recordlease.Options{
 		Key: port.RecordKey{Table: port.SharedTable, Partition: "leases", Key: "usage"}, Holder: name, Incarnation: incarnation, Queue: n.queue,
 		Timing: recordlease.SlowTiming, Fenced: true, Pause: 3 * time.Second, StartedAt: b.now.Add(-time.Minute),
-		Observed: func(now time.Time) time.Time { return now },
+		ObservedUntil: func(now time.Time) time.Time { return now },
 		Clock: func(now time.Time) (least, most time.Duration, known bool) {
 			at, _ := b.storeClock(now)
 			return at, at, true
