--- a/internal/process/agent/duties.go
+++ b/internal/process/agent/duties.go
@@ -36,7 +36,7 @@
 	duties := cluster.Duties{Fenced: from.Duties.Fenced}
 	duties.Scaling = from.Duties.Has(settings.DutyScaling)
 	if window := settings.Seconds(from.Duties.UsageWindowS); from.Duties.Has(settings.DutyUsage) && window > 0 {
-		duties.Usage = &usage.Windows{Length: window, Late: settings.Seconds(from.Duties.UsageLateS)}
+		duties.Usage = &usage.Windows{Length: window, ReportDelay: settings.Seconds(from.Duties.UsageLateS)}
 	}
 	return duties
 }
--- a/internal/simulation/clustersim/usage.go
+++ b/internal/simulation/clustersim/usage.go
@@ -28,7 +28,7 @@
 )
 
 // usageWindows are the windows of the simulated platform.
-var usageWindows = usage.Windows{Length: 5 * time.Second, Late: 10 * time.Second}
+var usageWindows = usage.Windows{Length: 5 * time.Second, ReportDelay: 10 * time.Second}
 
 // tenantRequest is a request that began to run.
 type tenantRequest struct {
@@ -170,10 +170,10 @@
 	for number := epoch.Unix() / int64(usageWindows.Length.Seconds()); ; number++ {
 		from := time.Unix(0, number*int64(usageWindows.Length))
 		to := from.Add(usageWindows.Length)
-		if to.Add(usageWindows.Late).After(until) {
+		if to.Add(usageWindows.ReportDelay).After(until) {
 			return
 		}
-		if from.Sub(epoch) < warmUp || p.troubledBetween(from.Add(-calmBefore-usageWindows.Late), to.Add(usageWindows.Late)) {
+		if from.Sub(epoch) < warmUp || p.troubledBetween(from.Add(-calmBefore-usageWindows.ReportDelay), to.Add(usageWindows.ReportDelay)) {
 			continue
 		}
 		p.exact++
@@ -184,7 +184,7 @@
 func (p *dutyPlatform) checkWindow(number int64, from, to time.Time) {
 	w := p.world
 	report, taken := p.accepted[number]
-	if !taken || p.acceptedAt[number].After(to.Add(usageWindows.Late)) {
+	if !taken || p.acceptedAt[number].After(to.Add(usageWindows.ReportDelay)) {
 		w.check.violate(w, "usage-exact", "window %d was not reported in time (reported %t)", number, taken)
 		return
 	}
--- a/internal/version/usage/counter.go
+++ b/internal/version/usage/counter.go
@@ -124,7 +124,7 @@
 	c.countPending(now)
 	for _, window := range slices.Sorted(maps.Keys(c.windows)) {
 		entry := c.windows[window]
-		if at > c.options.Clock.end(window)+retentionFactor*c.options.Clock.Late {
+		if at > c.options.Clock.end(window)+retentionFactor*c.options.Clock.ReportDelay {
 			c.discard(window, entry)
 			continue
 		}
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -113,7 +113,7 @@
 }
 
 func (r *Reporter) collectDelay() time.Duration {
-	return time.Duration(collectFraction * float64(r.options.Clock.Late))
+	return time.Duration(collectFraction * float64(r.options.Clock.ReportDelay))
 }
 
 // onResult marks the reporter as waiting and returns a callback for the task's result. The result
@@ -274,7 +274,7 @@
 
 func (r *Reporter) onSent(now time.Time, sent *report, status port.DutyStatus) {
 	at, _ := r.options.StoreClock(now)
-	late := at > r.options.Clock.end(sent.window)+r.options.Clock.Late
+	late := at > r.options.Clock.end(sent.window)+r.options.Clock.ReportDelay
 	r.options.Queue.Log(event.UsageReported, "window", sent.window, "requests", total(sent.requests), "fence", r.fence,
 		"status", status.String(), "late", late)
 	switch status {
--- a/internal/version/usage/usage.go
+++ b/internal/version/usage/usage.go
@@ -34,8 +34,8 @@
 type Windows struct {
 	// Length is the length of a window. Window k begins k lengths after the Unix epoch.
 	Length time.Duration
-	// Late is how long after the end of a window its report is due.
-	Late time.Duration
+	// ReportDelay is how long after the end of a window its report is due.
+	ReportDelay time.Duration
 }
 
 // Clock maps the record store's monotonic clock to windows. The zero value is a clock that is not
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -55,7 +55,7 @@
 func (b *testBench) storeClock(at time.Time) (time.Duration, bool) { return at.Sub(startTime), true }
 
 func (b *testBench) start(name string, incarnation uint64) *testNode {
-	n := &testNode{queue: &task.Queue{}, clock: &Clock{Windows: Windows{Length: 5 * time.Second, Late: 10 * time.Second}}}
+	n := &testNode{queue: &task.Queue{}, clock: &Clock{Windows: Windows{Length: 5 * time.Second, ReportDelay: 10 * time.Second}}}
 	n.lease = recordlease.New(recordlease.Options{
 		Key: port.RecordKey{Table: port.SharedTable, Partition: "leases", Key: "usage"}, Holder: name, Incarnation: incarnation, Queue: n.queue,
 		Timing: recordlease.SlowTiming, Fenced: true, Pause: 3 * time.Second, StartedAt: b.now.Add(-time.Minute),
