--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -230,5 +230,5 @@
 	if n.usage == nil {
 		return UsageFigures{}
 	}
-	return UsageFigures{Unwritten: int(n.usage.counter.Unwritten()), Reported: n.usage.reporter.Reported, Late: n.usage.reporter.Late}
+	return UsageFigures{Unwritten: int(n.usage.counter.Unwritten()), Reported: n.usage.reporter.Reported, Late: n.usage.reporter.LateReports}
 }
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -57,9 +57,9 @@
 	nextTick       time.Time
 	retryDelay     time.Duration
 	report         *report
-	// Reported is the number of windows that the platform accepted from this node. Late is the
+	// Reported is the number of windows that the platform accepted from this node. LateReports is the
 	// number of those reported after the deadline.
-	Reported, Late int
+	Reported, LateReports int
 }
 
 // report is the report of one window.
@@ -88,7 +88,7 @@
 		return
 	}
 	if lease.Fence() != r.fence {
-		*r = Reporter{options: r.options, fence: lease.Fence(), retryDelay: retryDelay, Reported: r.Reported, Late: r.Late}
+		*r = Reporter{options: r.options, fence: lease.Fence(), retryDelay: retryDelay, Reported: r.Reported, LateReports: r.LateReports}
 	}
 	if r.requestPending || now.Before(r.nextTick) {
 		return
@@ -282,7 +282,7 @@
 		sent.accepted = true
 		r.Reported++
 		if late {
-			r.Late++
+			r.LateReports++
 		}
 		r.Tick(now)
 	case port.DutyFenced:
