--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -208,7 +208,7 @@
 // CountRequest notes that a tenant's request began to run at a replica.
 func (n *Node) CountRequest(now, beganAt time.Time, tenant string) {
 	if n.usage != nil {
-		n.usage.counter.Note(now, beganAt, tenant)
+		n.usage.counter.Count(now, beganAt, tenant)
 	}
 }
 
--- a/internal/version/usage/counter.go
+++ b/internal/version/usage/counter.go
@@ -74,8 +74,8 @@
 	return &Counter{options: options, windows: map[int64]*counts{}}
 }
 
-// Note counts a request that began to run at a replica.
-func (c *Counter) Note(now, beganAt time.Time, tenant string) {
+// Count counts a request that began to run at a replica.
+func (c *Counter) Count(now, beganAt time.Time, tenant string) {
 	if tenant == "" {
 		return
 	}
@@ -141,7 +141,7 @@
 	pending := c.pending
 	c.pending = nil
 	for _, request := range pending {
-		c.Note(now, request.at, request.tenant)
+		c.Count(now, request.at, request.tenant)
 	}
 	if c.dropped > 0 {
 		c.options.Queue.Log(event.UsageLost, "requests", c.dropped, "reason", "too many requests before the usage clock was set")
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -147,7 +147,7 @@
 // countRequests counts requests of a tenant at a node.
 func (b *testBench) countRequests(n *testNode, tenant string, count int) {
 	for range count {
-		n.counter.Note(b.now, b.now, tenant)
+		n.counter.Count(b.now, b.now, tenant)
 	}
 }
 
@@ -220,7 +220,7 @@
 	}
 	second := b.start("second", 9)
 	second.keeper.OnRecord(b.records.Range(b.now, port.RecordRange{Table: clockKey.Table, Partition: clockKey.Partition, From: clockKey.Key, To: clockKey.Key + "\x00"}).Records[0])
-	second.counter.Note(b.now, startTime.Add(12*time.Second), "x")
+	second.counter.Count(b.now, startTime.Add(12*time.Second), "x")
 	b.run(15 * time.Second)
 	if got := b.reportOf(t, 2); !maps.Equal(got, map[string]int64{"x": 3}) {
 		t.Errorf("reported %v", got)
