--- a/internal/process/agent/trainer.go
+++ b/internal/process/agent/trainer.go
@@ -191,8 +191,8 @@
 	}) == batch.Done
 }
 
-// Whole waits until a job is whole and returns its results.
-func (j stepJobs) Whole(ctx context.Context, id string) []*doorstepv1.BatchResult {
+// AwaitResults waits until a job is whole and returns its results.
+func (j stepJobs) AwaitResults(ctx context.Context, id string) []*doorstepv1.BatchResult {
 	until, _ := ctx.Deadline()
 	var results []*doorstepv1.BatchResult
 	for ctx.Err() == nil {
--- a/internal/version/experiment/steps.go
+++ b/internal/version/experiment/steps.go
@@ -44,8 +44,8 @@
 type Jobs interface {
 	// Accept submits a job. It returns false if the outcome is not known to be success.
 	Accept(ctx context.Context, job *doorstepv1.BatchJob) bool
-	// Whole waits until a job is complete and returns its results, or nil if it did not complete.
-	Whole(ctx context.Context, id string) []*doorstepv1.BatchResult
+	// AwaitResults waits until a job is complete and returns its results, or nil if it did not complete.
+	AwaitResults(ctx context.Context, id string) []*doorstepv1.BatchResult
 	// End declares that a job's results are no longer needed.
 	End(ctx context.Context, id string)
 }
@@ -151,7 +151,7 @@
 	if job == nil {
 		return reply, ok
 	}
-	results := s.Jobs.Whole(ctx, job.Id)
+	results := s.Jobs.AwaitResults(ctx, job.Id)
 	if results == nil {
 		return Reply{}, false
 	}
--- a/internal/version/experiment/steps_test.go
+++ b/internal/version/experiment/steps_test.go
@@ -71,7 +71,7 @@
 	return true
 }
 
-func (j *testJobs) Whole(_ context.Context, id string) []*doorstepv1.BatchResult {
+func (j *testJobs) AwaitResults(_ context.Context, id string) []*doorstepv1.BatchResult {
 	if j.during != nil {
 		j.during(id)
 	}
