--- a/internal/version/experiment/prompts.go
+++ b/internal/version/experiment/prompts.go
@@ -17,8 +17,8 @@
 	// ErrPromptsExist is returned if the set exists with other prompts. Prompt sets are immutable,
 	// because steps must remain reproducible.
 	ErrPromptsExist = errors.New("a prompt set of that name exists and holds other prompts: choose another name")
-	// ErrStoreSilent is returned if the store did not answer.
-	ErrStoreSilent = errors.New("the store did not answer")
+	// ErrStoreUnavailable is returned if the store did not answer.
+	ErrStoreUnavailable = errors.New("the store did not answer")
 	// ErrPromptTooLong is returned if a prompt does not fit into a record.
 	ErrPromptTooLong = fmt.Errorf("a prompt is longer than %d bytes", maxPartBytes)
 )
@@ -51,7 +51,7 @@
 			Preconditions: []port.Precondition{{RecordKey: key}}, Puts: []port.Record{{RecordKey: key, Value: value}},
 		})
 		if result.Status != port.RecordDone && result.Status != port.RecordConflict {
-			return ErrStoreSilent
+			return ErrStoreUnavailable
 		}
 	}
 	stored, err = ReadPrompts(ctx, store, set)
@@ -84,7 +84,7 @@
 	for {
 		result := store.Range(ctx, query)
 		if result.Status != port.RecordDone {
-			return nil, ErrStoreSilent
+			return nil, ErrStoreUnavailable
 		}
 		if query.From == "" && len(result.Records) > 0 && result.Records[0].Key != promptKey(set, 0).Key {
 			// The first part is written last, so the set is incomplete.
