--- a/internal/command/operator/client.go
+++ b/internal/command/operator/client.go
@@ -29,7 +29,7 @@
 type client struct {
 	store     port.RecordStore
 	decoder   cluster.DeploymentDecoder
-	commander *configuration.Commander
+	commander *configuration.Executor
 	operator  string
 	wait      time.Duration
 }
@@ -42,7 +42,7 @@
 	}
 	store := p.NewStore(address)
 	return &client{
-		store: store, decoder: p.Decoder, commander: &configuration.Commander{Store: store, Now: time.Now},
+		store: store, decoder: p.Decoder, commander: &configuration.Executor{Store: store, Now: time.Now},
 		operator: c.String("operator"), wait: time.Duration(c.Int("wait")) * time.Second,
 	}, nil
 }
--- a/internal/version/configuration/command.go
+++ b/internal/version/configuration/command.go
@@ -14,8 +14,8 @@
 // retryDelay is the delay before a call to the store is repeated.
 const retryDelay = 100 * time.Millisecond
 
-// Commander executes operator commands. Its fields must be set before use.
-type Commander struct {
+// Executor executes operator commands. Its fields must be set before use.
+type Executor struct {
 	Store port.RecordStore
 	// Now returns the current time for the history.
 	Now func() time.Time
@@ -32,13 +32,13 @@
 
 // Submit executes a command. The reply is Accepted, Refused, or Undecided if the store did not
 // answer before the context ended. To resolve an undecided command, repeat it with its token.
-func (c *Commander) Submit(ctx context.Context, call port.OperatorCall) port.OperatorReply {
+func (c *Executor) Submit(ctx context.Context, call port.OperatorCall) port.OperatorReply {
 	reply := c.submit(ctx, call)
 	reply.Token = call.Token
 	return reply
 }
 
-func (c *Commander) submit(ctx context.Context, call port.OperatorCall) port.OperatorReply {
+func (c *Executor) submit(ctx context.Context, call port.OperatorCall) port.OperatorReply {
 	for ; ctx.Err() == nil; waitRetry(ctx) {
 		change, ok := c.recordedChange(ctx, call.Token)
 		if !ok {
@@ -73,7 +73,7 @@
 
 // attempt executes a command on a snapshot. If decided is false, the caller must look up the
 // outcome by the command's token.
-func (c *Commander) attempt(ctx context.Context, call port.OperatorCall, current snapshot) (reply port.OperatorReply, decided bool) {
+func (c *Executor) attempt(ctx context.Context, call port.OperatorCall, current snapshot) (reply port.OperatorReply, decided bool) {
 	revision := current.configuration.Revision
 	if call.IfRevision != 0 && call.IfRevision != revision {
 		return c.recordRefusal(ctx, call, c.conflictReason(ctx, revision), revision)
@@ -104,7 +104,7 @@
 
 // recordRefusal records a refusal under the command's token before it is returned, so that an
 // earlier unanswered attempt can no longer succeed.
-func (c *Commander) recordRefusal(ctx context.Context, call port.OperatorCall, reason string, revision uint64) (port.OperatorReply, bool) {
+func (c *Executor) recordRefusal(ctx context.Context, call port.OperatorCall, reason string, revision uint64) (port.OperatorReply, bool) {
 	change := c.newChange(call)
 	change.ToRevision, change.Refused = revision, reason
 	if call.Explain {
@@ -117,12 +117,12 @@
 	return replyTo(change), result.Status == port.RecordDone
 }
 
-func (c *Commander) newChange(call port.OperatorCall) *doorstepv1.Change {
+func (c *Executor) newChange(call port.OperatorCall) *doorstepv1.Change {
 	return &doorstepv1.Change{Token: call.Token, Operator: call.Operator, Statement: call.Text, UnixMilliseconds: c.Now().UnixMilli()}
 }
 
 // conflictReason returns a description of the change that created an unexpected revision.
-func (c *Commander) conflictReason(ctx context.Context, revision uint64) string {
+func (c *Executor) conflictReason(ctx context.Context, revision uint64) string {
 	change, ok := c.readChange(ctx, revisionKey(revision))
 	if !ok || change == nil {
 		return fmt.Sprintf("the configuration is at revision %d already", revision)
@@ -139,11 +139,11 @@
 
 // recordedChange returns the change recorded under a token, or nil if there is none. ok is false if
 // the store did not answer.
-func (c *Commander) recordedChange(ctx context.Context, token string) (change *doorstepv1.Change, ok bool) {
+func (c *Executor) recordedChange(ctx context.Context, token string) (change *doorstepv1.Change, ok bool) {
 	return c.readChange(ctx, tokenKey(token))
 }
 
-func (c *Commander) readChange(ctx context.Context, key port.RecordKey) (change *doorstepv1.Change, ok bool) {
+func (c *Executor) readChange(ctx context.Context, key port.RecordKey) (change *doorstepv1.Change, ok bool) {
 	record, ok := port.ReadRecord(ctx, c.Store, key)
 	if !ok || record.Revision == 0 {
 		return nil, ok
@@ -155,7 +155,7 @@
 	return change, true
 }
 
-func (c *Commander) readSnapshot(ctx context.Context) (snapshot, bool) {
+func (c *Executor) readSnapshot(ctx context.Context) (snapshot, bool) {
 	record, clock, ok := port.ReadRecordAt(ctx, c.Store, Key())
 	if !ok {
 		return snapshot{}, false
@@ -168,7 +168,7 @@
 }
 
 // Read returns the stored configuration.
-func (c *Commander) Read(ctx context.Context) (*doorstepv1.Configuration, bool) {
+func (c *Executor) Read(ctx context.Context) (*doorstepv1.Configuration, bool) {
 	current, ok := c.readSnapshot(ctx)
 	return current.configuration, ok
 }
--- a/internal/version/configuration/command_test.go
+++ b/internal/version/configuration/command_test.go
@@ -50,11 +50,11 @@
 	return port.RecordResult{Status: port.RecordRefused}
 }
 
-func newCommander(commit func(n int) (port.RecordStatus, bool, bool)) *Commander {
-	return &Commander{Store: &faultyStore{Records: model.NewRecords(time.Now(), model.RecordsOptions{}), commit: commit}, Now: time.Now}
+func newCommander(commit func(n int) (port.RecordStatus, bool, bool)) *Executor {
+	return &Executor{Store: &faultyStore{Records: model.NewRecords(time.Now(), model.RecordsOptions{}), commit: commit}, Now: time.Now}
 }
 
-func submit(t *testing.T, c *Commander, operator, token, text string, ifRevision uint64) port.OperatorReply {
+func submit(t *testing.T, c *Executor, operator, token, text string, ifRevision uint64) port.OperatorReply {
 	t.Helper()
 	parsed, err := statement.ParseOne(text)
 	if err != nil {
@@ -138,10 +138,10 @@
 	var commitDelayed func()
 	records := model.NewRecords(time.Now(), model.RecordsOptions{})
 	store := &delayingStore{faultyStore: faultyStore{Records: records}, onDelayed: func(do func()) { commitDelayed = do }}
-	c := &Commander{Store: store, Now: time.Now}
+	c := &Executor{Store: store, Now: time.Now}
 	done := make(chan port.OperatorReply, 1)
 	store.afterDelayed = func() {
-		submit(t, &Commander{Store: &store.faultyStore, Now: time.Now}, "other", "t2", "drain zone z", 0)
+		submit(t, &Executor{Store: &store.faultyStore, Now: time.Now}, "other", "t2", "drain zone z", 0)
 	}
 	go func() { done <- submit(t, c, "o", "t1", "drain zone z", 0) }()
 	reply := <-done
--- a/internal/version/configuration/linearizability_test.go
+++ b/internal/version/configuration/linearizability_test.go
@@ -70,7 +70,7 @@
 		startedAt := time.Now()
 		for operator := range concurrentOperators {
 			group.Go(func() {
-				c := &Commander{Store: store, Now: time.Now}
+				c := &Executor{Store: store, Now: time.Now}
 				for n := range commandsPerOperator {
 					call := drainCall{undrain: draw(2) == 0, read: draw(3) == 0}
 					operation := porcupine.Operation{ClientId: operator, Input: call, Call: time.Since(startedAt).Nanoseconds()}
@@ -89,7 +89,7 @@
 	}
 }
 
-func execute(c *Commander, call drainCall, token string) string {
+func execute(c *Executor, call drainCall, token string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	if call.read {
