--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -94,7 +94,7 @@
 func (g *gathering) quarantine() [][]string {
 	records := g.read(port.SharedTable, quarantine.Partition, "")
 	known := quarantine.New(quarantine.Options{Queue: &task.Queue{}, StoreClock: func(time.Time) time.Duration { return g.clock }})
-	known.Lift(time.Time{}, configuration.Lifts(g.configuration()))
+	known.Lift(time.Time{}, configuration.QuarantineLifts(g.configuration()))
 	for _, record := range records {
 		known.OnRecord(record)
 	}
--- a/internal/process/cluster/operators.go
+++ b/internal/process/cluster/operators.go
@@ -32,7 +32,7 @@
 	for _, e := range n.endpoints.All() {
 		e.Held = n.holds(e)
 	}
-	n.quarantine.Lift(now, configuration.Lifts(decoded))
+	n.quarantine.Lift(now, configuration.QuarantineLifts(decoded))
 	n.drain(now)
 }
 
--- a/internal/version/configuration/lift.go
+++ b/internal/version/configuration/lift.go
@@ -26,9 +26,9 @@
 	return nil
 }
 
-// Lifts returns, by request, the time on the record store's clock up to which crashes are ignored
+// QuarantineLifts returns, by request, the time on the record store's clock up to which crashes are ignored
 // because the quarantine was lifted.
-func Lifts(c *doorstepv1.Configuration) map[quarantine.Fingerprint]time.Duration {
+func QuarantineLifts(c *doorstepv1.Configuration) map[quarantine.Fingerprint]time.Duration {
 	lifts := map[quarantine.Fingerprint]time.Duration{}
 	for _, lift := range c.GetLifts() {
 		if fingerprint, ok := quarantine.ParseFingerprint(lift.Request); ok {
