--- a/internal/version/configuration/lift.go
+++ b/internal/version/configuration/lift.go
@@ -10,9 +10,9 @@
 	"github.com/doorstep/doorstep/internal/process/quarantine"
 )
 
-// MaximumLifts is the maximum number of lifted quarantines. All of them are held in memory by every
+// MaxQuarantineLifts is the maximum number of lifted quarantines. All of them are held in memory by every
 // node. When it is exceeded, the oldest is removed.
-const MaximumLifts = 256
+const MaxQuarantineLifts = 256
 
 // liftQuarantine allows a quarantined request to be sent to replicas again. Crashes recorded after
 // the command count again.
@@ -22,7 +22,7 @@
 	}
 	next.Lifts = slices.DeleteFunc(next.Lifts, func(lift *doorstepv1.QuarantineLift) bool { return lift.Request == command.Request })
 	next.Lifts = append(next.Lifts, &doorstepv1.QuarantineLift{Request: command.Request, AtMs: command.Clock.Milliseconds()})
-	next.Lifts = next.Lifts[max(len(next.Lifts)-MaximumLifts, 0):]
+	next.Lifts = next.Lifts[max(len(next.Lifts)-MaxQuarantineLifts, 0):]
 	return nil
 }
 
