--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -13,8 +13,8 @@
 
 // Bounds and defaults of an experiment's settings.
 const (
-	// MaximumSamples is the maximum number of samples per step.
-	MaximumSamples = 65536
+	// MaxSamples is the maximum number of samples per step.
+	MaxSamples = 65536
 	// MaximumTokens is the maximum number of tokens per rollout.
 	MaximumTokens = 1 << 20
 	// MaximumExperiments is the maximum number of experiments. All of them are held in memory by
@@ -152,7 +152,7 @@
 			experiment.Scoring = ""
 		}
 	case "samples":
-		return setNumber(setting.Name, value, 1, MaximumSamples, func(n int64) { experiment.Samples = uint32(n) })
+		return setNumber(setting.Name, value, 1, MaxSamples, func(n int64) { experiment.Samples = uint32(n) })
 	case "staleness":
 		return setNumber(setting.Name, value, 0, 1<<20, func(n int64) { experiment.StalenessBound = n })
 	case "idle_weight":
