--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -15,8 +15,8 @@
 const (
 	// MaxSamples is the maximum number of samples per step.
 	MaxSamples = 65536
-	// MaximumTokens is the maximum number of tokens per rollout.
-	MaximumTokens = 1 << 20
+	// MaxTokens is the maximum number of tokens per rollout.
+	MaxTokens = 1 << 20
 	// MaximumExperiments is the maximum number of experiments. All of them are held in memory by
 	// every node.
 	MaximumExperiments = 64
@@ -158,7 +158,7 @@
 	case "idle_weight":
 		return setNumber(setting.Name, value, 0, maximumWeight, func(n int64) { experiment.IdleWeight = uint32(n) })
 	case "max_tokens":
-		return setNumber(setting.Name, value, 1, MaximumTokens, func(n int64) { experiment.MaxTokens = uint32(n) })
+		return setNumber(setting.Name, value, 1, MaxTokens, func(n int64) { experiment.MaxTokens = uint32(n) })
 	case "share":
 		return setNumber(setting.Name, value, 1, maximumWeight, func(n int64) { experiment.Share = uint32(n) })
 	case "min_version":
