--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -17,9 +17,9 @@
 	MaxSamples = 65536
 	// MaxTokens is the maximum number of tokens per rollout.
 	MaxTokens = 1 << 20
-	// MaximumExperiments is the maximum number of experiments. All of them are held in memory by
+	// MaxExperiments is the maximum number of experiments. All of them are held in memory by
 	// every node.
-	MaximumExperiments = 64
+	MaxExperiments = 64
 
 	defaultSamples        = 32
 	defaultStalenessBound = 2
@@ -84,8 +84,8 @@
 	if FindExperiment(next, command.Experiment) != nil {
 		return fmt.Errorf("experiment %q exists already; use alter experiment", command.Experiment)
 	}
-	if len(next.Experiments) >= MaximumExperiments {
-		return fmt.Errorf("there are %d experiments already, the most allowed", MaximumExperiments)
+	if len(next.Experiments) >= MaxExperiments {
+		return fmt.Errorf("there are %d experiments already, the most allowed", MaxExperiments)
 	}
 	experiment := &doorstepv1.Experiment{
 		Name:           command.Experiment,
