--- a/internal/version/configuration/change_test.go
+++ b/internal/version/configuration/change_test.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reply := Difference(before, after)
+	reply := Diff(before, after)
 	if len(reply.Rows) != 1 || reply.Rows[0][0] != "experiment e" || reply.Revision != before.Revision {
 		t.Errorf("difference: %+v", reply)
 	}
--- a/internal/version/configuration/command.go
+++ b/internal/version/configuration/command.go
@@ -85,7 +85,7 @@
 		return c.recordRefusal(ctx, call, err.Error(), revision)
 	}
 	if call.Explain {
-		return Difference(current.configuration, next), true
+		return Diff(current.configuration, next), true
 	}
 	change := c.newChange(call)
 	change.FromRevision, change.ToRevision = revision, next.Revision
--- a/internal/version/configuration/difference.go
+++ b/internal/version/configuration/difference.go
@@ -7,8 +7,8 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Difference returns the changes that a command would make.
-func Difference(before, after *doorstepv1.Configuration) port.OperatorReply {
+// Diff returns the changes that a command would make.
+func Diff(before, after *doorstepv1.Configuration) port.OperatorReply {
 	reply := port.OperatorReply{
 		Status:   port.Answered,
 		Reason:   fmt.Sprintf("would make revision %d; nothing was changed", after.Revision),
