--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -30,8 +30,8 @@
 	var rows [][]string
 	for _, one := range deployment.Replicas {
 		known := endpoint.Endpoint{ReplicaRecord: one, Evacuated: evacuated[one.Zone]}
-		known.Held = configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
-			configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, one.Zone)
+		known.Held = configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
+			configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, one.Zone)
 		state := "ready"
 		if reason := known.Withheld(); reason != endpoint.NotWithheld {
 			state = string(reason)
@@ -60,8 +60,8 @@
 		switch {
 		case age > silentAfter:
 			state = "silent"
-		case configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_NODE, record.Key) ||
-			configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, status.Zone):
+		case configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_NODE, record.Key) ||
+			configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, status.Zone):
 			state = "drained"
 		case status.Ready:
 			state = "ready"
--- a/internal/process/cluster/operators.go
+++ b/internal/process/cluster/operators.go
@@ -38,15 +38,15 @@
 
 // holds reports whether operators drain a replica or its zone.
 func (n *Node) holds(e *endpoint.Endpoint) bool {
-	return configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, e.ID) ||
-		configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_ZONE, e.Zone)
+	return configuration.IsDrained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, e.ID) ||
+		configuration.IsDrained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_ZONE, e.Zone)
 }
 
 // drain hands this node's duties over while operators drain it or its zone, and takes
 // duties again afterwards. It answers on, but wants no new connections.
 func (n *Node) drain(now time.Time) {
-	drained := configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_NODE, n.options.Name) ||
-		configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_ZONE, n.options.Topology.Zone)
+	drained := configuration.IsDrained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_NODE, n.options.Name) ||
+		configuration.IsDrained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_ZONE, n.options.Topology.Zone)
 	if drained == n.drained || n.Stopping() {
 		return
 	}
--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -260,14 +260,14 @@
 
 func sameDrain(a, b *doorstepv1.Drain) bool { return a.Kind == b.Kind && a.Name == b.Name }
 
-// Drained reports whether the target is drained.
-func Drained(c *doorstepv1.Configuration, kind doorstepv1.DrainKind, name string) bool {
+// IsDrained reports whether the target is drained.
+func IsDrained(c *doorstepv1.Configuration, kind doorstepv1.DrainKind, name string) bool {
 	target := &doorstepv1.Drain{Kind: kind, Name: name}
 	return slices.ContainsFunc(c.GetDrains(), func(d *doorstepv1.Drain) bool { return sameDrain(d, target) })
 }
 
 func drain(next *doorstepv1.Configuration, target *doorstepv1.Drain) error {
-	if Drained(next, target.Kind, target.Name) {
+	if IsDrained(next, target.Kind, target.Name) {
 		return fmt.Errorf("%q is drained already", target.Name)
 	}
 	next.Drains = append(next.Drains, target)
@@ -275,7 +275,7 @@
 }
 
 func undrain(next *doorstepv1.Configuration, target *doorstepv1.Drain) error {
-	if !Drained(next, target.Kind, target.Name) {
+	if !IsDrained(next, target.Kind, target.Name) {
 		return fmt.Errorf("%q is not drained", target.Name)
 	}
 	next.Drains = slices.DeleteFunc(next.Drains, func(d *doorstepv1.Drain) bool { return sameDrain(d, target) })
--- a/internal/version/configuration/linearizability_test.go
+++ b/internal/version/configuration/linearizability_test.go
@@ -94,7 +94,7 @@
 	defer cancel()
 	if call.read {
 		stored, _ := c.Read(ctx)
-		return fmt.Sprint(Drained(stored, doorstepv1.DrainKind_DRAIN_KIND_ZONE, "z"))
+		return fmt.Sprint(IsDrained(stored, doorstepv1.DrainKind_DRAIN_KIND_ZONE, "z"))
 	}
 	kind := port.DrainTarget
 	if call.undrain {
