--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -284,7 +284,7 @@
 			var got, first *endpoint.Endpoint
 			done := 0
 			n.do(func(now time.Time) {
-				n.ClaimCold(now, n.routes.Named("r"), "", "m", nil, func() bool { return true }, func(_ time.Time, chosen *endpoint.Endpoint, _ time.Duration) {
+				n.ClaimCold(now, n.routes.RouteByName("r"), "", "m", nil, func() bool { return true }, func(_ time.Time, chosen *endpoint.Endpoint, _ time.Duration) {
 					done++
 					got = chosen
 				})
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -43,7 +43,7 @@
 			if n.routes == nil {
 				return nil
 			}
-			return n.routes.Named(name)
+			return n.routes.RouteByName(name)
 		},
 	}
 }
--- a/internal/version/routes/homes.go
+++ b/internal/version/routes/homes.go
@@ -12,14 +12,14 @@
 		return homes
 	}
 	homes = homes.And(port.NewHomes(route.AllowedRegions))
-	if newer := t.Named(route.Name); newer != nil && newer != route {
+	if newer := t.RouteByName(route.Name); newer != nil && newer != route {
 		homes = homes.And(port.NewHomes(newer.AllowedRegions))
 	}
 	return homes
 }
 
-// Named returns the route with the given name, or nil.
-func (t *Table) Named(name string) *port.Route { return t.byName[name] }
+// RouteByName returns the route with the given name, or nil.
+func (t *Table) RouteByName(name string) *port.Route { return t.byName[name] }
 
 // homesByTenant returns the home regions of the tenants that have any.
 func homesByTenant(tenants []port.Tenant) map[string]port.Homes {
