--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -25,7 +25,7 @@
 	Holder      string
 	Incarnation uint64
 	Queue       *task.Queue
-	// Timing defaults to Prompt.
+	// Timing defaults to FastTiming.
 	Timing Timing
 	// Pause is the minimum time between the acts of two holders on a target.
 	Pause time.Duration
--- a/internal/version/recordlease/takeover.go
+++ b/internal/version/recordlease/takeover.go
@@ -10,9 +10,9 @@
 	maxTakeoverSpread = 4 * time.Second
 )
 
-// TakeoverSpread returns the time over which nodes spread their attempts to take over a lease or a job.
-// It grows with the number of nodes and is at least minSpread. nodes may be nil or return 0 if the
-// number is unknown.
+// TakeoverSpread returns the time over which nodes spread their attempts to take over a lease or a
+// job. It grows with the number of nodes and is at least minSpread. nodes may be nil or return 0 if
+// the number is unknown.
 func TakeoverSpread(minSpread time.Duration, nodes func() int) time.Duration {
 	if nodes == nil {
 		return minSpread
--- a/internal/version/rollout/limit.go
+++ b/internal/version/rollout/limit.go
@@ -38,8 +38,8 @@
 // loadLimit adapts the number of concurrent loads. Replicas share the source of the weights, so
 // loads slow down beyond an unknown number. Loads are evaluated in rounds as large as the limit, so
 // that a single slow replica has no effect. The limit starts low to measure the shortest load and
-// doubles after each round that was not slow. Once a round was slow, the limit is reduced in
-// proportion, and it rises by one after each roundsPerIncrease rounds that were not.
+// doubles after each round that was not slow. A slow round reduces it in proportion. After the
+// ramp, it rises by one after every roundsPerIncrease rounds that were not slow.
 type loadLimit struct {
 	limit        int
 	shortestLoad time.Duration
--- a/internal/version/rollout/queue.go
+++ b/internal/version/rollout/queue.go
@@ -14,7 +14,7 @@
 	usable, group int
 }
 
-// sort orders the loads by versions behind, then by load of the replica.
+// sort orders the loads by versions behind, then by requests in flight at the replica.
 func (q *loadQueue) sort() {
 	order := func(a, b pendingLoad) int {
 		return cmp.Or(cmp.Compare(b.behind, a.behind), cmp.Compare(a.endpoint.InFlight, b.endpoint.InFlight),
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -110,7 +110,7 @@
 	serving, evacuated := filterWithheld(members, endpoint.NotWithheld), filterWithheld(members, endpoint.WithheldEvacuated)
 	assignable := serving
 	if len(serving) == 0 {
-		// With all replicas evacuated, these decide whether there are enough for groups.
+		// If all replicas are evacuated, their number decides whether there are enough for groups.
 		assignable = evacuated
 	}
 	r.groups.assign(assignable, r.targets, demand)
@@ -208,8 +208,8 @@
 		if state == nil || !state.orderPending {
 			continue
 		}
-		// Updated for all replicas before any load is counted as finished. Otherwise the last of
-		// several concurrent loads would be recorded as a load that ran alone.
+		// Loads that are ordered together also finish together. With the current number alone, the
+		// last of them would be recorded as a load that ran alone.
 		state.maxConcurrent = max(state.maxConcurrent, loading)
 		switch {
 		case e.Versions[state.model] >= state.version:
--- a/internal/version/rollout/state.go
+++ b/internal/version/rollout/state.go
@@ -45,8 +45,8 @@
 	state := r.lookUpState(e)
 	if state == nil {
 		state = &replicaState{endpoint: e, unanswered: &unansweredOrders{}}
-		if former := r.replicas[e.ID]; former != nil {
-			state.unanswered = former.unanswered
+		if previous := r.replicas[e.ID]; previous != nil {
+			state.unanswered = previous.unanswered
 		}
 		r.replicas[e.ID] = state
 	}
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -117,7 +117,7 @@
 }
 
 // onResult marks the reporter as waiting and returns a callback for the task's result. The result
-// is ignored if the lease was acquired anew in the meantime.
+// is ignored if the lease was acquired again in the meantime.
 func (r *Reporter) onResult(fence int64, done func(now time.Time, result port.RecordResult)) func(now time.Time, result port.RecordResult) {
 	r.requestPending = true
 	return func(now time.Time, result port.RecordResult) {
