--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -57,15 +57,15 @@
 		if len(tasks) == 0 {
 			return
 		}
-		for _, one := range tasks {
-			b.execute(i, one)
+		for _, next := range tasks {
+			b.execute(i, next)
 		}
 	}
 }
 
-func (b *testBench) execute(i int, one task.Task) {
+func (b *testBench) execute(i int, next task.Task) {
 	unknown := port.RecordResult{Status: port.RecordUnknown}
-	switch t := one.(type) {
+	switch t := next.(type) {
 	case task.Commit:
 		if b.disconnected[i] {
 			t.Done(b.now, unknown)
--- a/internal/version/rollout/queue_test.go
+++ b/internal/version/rollout/queue_test.go
@@ -40,8 +40,8 @@
 		}, "baa"},
 	} {
 		got := ""
-		for _, one := range mergeQueues(c.queues) {
-			got += one.model
+		for _, load := range mergeQueues(c.queues) {
+			got += load.model
 		}
 		if got != c.want {
 			t.Errorf("%s: order %s, want %s", c.name, got, c.want)
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -82,13 +82,13 @@
 		b.lease.Tick(b.now)
 		b.rollout.Tick(b.now)
 		for tasks := b.queue.Take(); len(tasks) > 0; tasks = b.queue.Take() {
-			for _, one := range tasks {
-				b.execute(one)
+			for _, next := range tasks {
+				b.execute(next)
 			}
 		}
 		loading := 0
-		for _, one := range b.generators {
-			if one.Report(b.now).Loading {
+		for _, next := range b.generators {
+			if next.Report(b.now).Loading {
 				loading++
 			}
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-func (b *testBench) execute(one task.Task) {
-	switch t := one.(type) {
+func (b *testBench) execute(next task.Task) {
+	switch t := next.(type) {
 	case task.Commit:
 		t.Done(b.now, b.records.Commit(b.now, t.Transaction))
 	case task.Range:
@@ -131,8 +131,8 @@
 // versions returns the number of replicas by version.
 func (b *testBench) versions() map[int64]int {
 	count := map[int64]int{}
-	for _, one := range b.generators {
-		count[one.Version(b.now, "m")]++
+	for _, generator := range b.generators {
+		count[generator.Version(b.now, "m")]++
 	}
 	return count
 }
@@ -256,8 +256,8 @@
 		b.run(4 * time.Second)
 		for _, model := range models {
 			usable := 0
-			for _, one := range b.generators {
-				if one.Version(b.now, model) >= version-1 {
+			for _, generator := range b.generators {
+				if generator.Version(b.now, model) >= version-1 {
 					usable++
 				}
 			}
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -56,23 +56,23 @@
 
 func (b *testBench) run(length time.Duration) {
 	for end := b.now.Add(length); b.now.Before(end); b.now = b.now.Add(50 * time.Millisecond) {
-		for _, one := range b.starting {
-			if !b.now.Before(one.at) {
-				b.service.Zones[one.zone].Replicas = one.replicas
+		for _, next := range b.starting {
+			if !b.now.Before(next.at) {
+				b.service.Zones[next.zone].Replicas = next.replicas
 			}
 		}
 		b.lease.Tick(b.now)
 		b.scaler.Tick(b.now)
 		for tasks := b.queue.Take(); len(tasks) > 0; tasks = b.queue.Take() {
-			for _, one := range tasks {
-				b.execute(one)
+			for _, next := range tasks {
+				b.execute(next)
 			}
 		}
 	}
 }
 
-func (b *testBench) execute(one task.Task) {
-	switch t := one.(type) {
+func (b *testBench) execute(next task.Task) {
+	switch t := next.(type) {
 	case task.Commit:
 		t.Done(b.now, b.records.Commit(b.now, t.Transaction))
 	case task.OrderReplicas:
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -100,14 +100,14 @@
 	n.counter.Tick(b.now, false)
 	n.reporter.Tick(b.now)
 	for tasks := n.queue.Take(); len(tasks) > 0; tasks = n.queue.Take() {
-		for _, one := range tasks {
-			b.execute(n, one)
+		for _, next := range tasks {
+			b.execute(n, next)
 		}
 	}
 }
 
-func (b *testBench) execute(n *testNode, one task.Task) {
-	switch t := one.(type) {
+func (b *testBench) execute(n *testNode, next task.Task) {
+	switch t := next.(type) {
 	case task.Commit:
 		if n.answer != nil {
 			if result, taken := n.answer(t); taken {
@@ -156,14 +156,14 @@
 	t.Helper()
 	window := startTime.Unix()/5 + number
 	var found map[string]int64
-	for _, one := range b.reports {
-		if one.Window != window {
+	for _, report := range b.reports {
+		if report.Window != window {
 			continue
 		}
-		if found != nil && !maps.Equal(found, one.Requests) {
-			t.Errorf("window %d reported twice with different counts: %v and %v", number, found, one.Requests)
+		if found != nil && !maps.Equal(found, report.Requests) {
+			t.Errorf("window %d reported twice with different counts: %v and %v", number, found, report.Requests)
 		}
-		found = one.Requests
+		found = report.Requests
 	}
 	return found
 }
@@ -187,8 +187,8 @@
 		t.Errorf("report %v for an empty window, want an empty report", got)
 	}
 	var windows []int64
-	for _, one := range b.reports {
-		windows = append(windows, one.Window)
+	for _, report := range b.reports {
+		windows = append(windows, report.Window)
 	}
 	if !slices.IsSorted(windows) || len(slices.Compact(slices.Clone(windows))) != len(windows) {
 		t.Errorf("windows %v, want each once and in order", windows)
@@ -238,23 +238,23 @@
 	b.run(11 * time.Second)
 	var delayed []port.RecordTransaction
 	lost := 0
-	n.answer = func(one task.Commit) (port.RecordResult, bool) {
-		if len(one.Transaction.Puts) == 0 || one.Transaction.Puts[0].Partition == ReportPartition || one.Transaction.Puts[0].Table != Table || lost >= 3 {
+	n.answer = func(commit task.Commit) (port.RecordResult, bool) {
+		if len(commit.Transaction.Puts) == 0 || commit.Transaction.Puts[0].Partition == ReportPartition || commit.Transaction.Puts[0].Table != Table || lost >= 3 {
 			return port.RecordResult{}, false
 		}
 		lost++
 		if lost == 2 {
-			b.records.Commit(b.now, one.Transaction)
+			b.records.Commit(b.now, commit.Transaction)
 		}
-		delayed = append(delayed, one.Transaction)
+		delayed = append(delayed, commit.Transaction)
 		return port.RecordResult{Status: port.RecordUnknown}, true
 	}
 	b.countRequests(n, "x", 2)
 	b.run(500 * time.Millisecond)
 	b.countRequests(n, "x", 1)
 	b.run(3 * time.Second)
-	for _, one := range delayed {
-		b.records.Commit(b.now, one)
+	for _, commit := range delayed {
+		b.records.Commit(b.now, commit)
 	}
 	b.run(20 * time.Second)
 	if got := b.reportOf(t, 2); !maps.Equal(got, map[string]int64{"x": 3}) {
@@ -307,14 +307,14 @@
 	b.run(11 * time.Second)
 	b.countRequests(n, "x", 1)
 	writes := 0
-	n.answer = func(one task.Commit) (port.RecordResult, bool) {
+	n.answer = func(next task.Commit) (port.RecordResult, bool) {
 		writes++
 		return port.RecordResult{Status: port.RecordRefused}, true
 	}
 	for end := b.now.Add(2 * time.Second); b.now.Before(end); b.now = b.now.Add(tickInterval) {
 		n.counter.Tick(b.now, true)
-		for _, one := range n.queue.Take() {
-			b.execute(n, one)
+		for _, next := range n.queue.Take() {
+			b.execute(n, next)
 		}
 	}
 	if writes < 2 || writes > 9 {
@@ -329,8 +329,8 @@
 	key := reportKey(startTime.Unix()/5 + 1)
 	b.records.Commit(b.now, port.RecordTransaction{Puts: []port.Record{{RecordKey: key, Value: []byte("\xff\xff\xff")}}})
 	calls := 0
-	b.nodes[0].answer = func(one task.Commit) (port.RecordResult, bool) {
-		if one.Transaction.Puts != nil && one.Transaction.Puts[0].RecordKey == key {
+	b.nodes[0].answer = func(commit task.Commit) (port.RecordResult, bool) {
+		if commit.Transaction.Puts != nil && commit.Transaction.Puts[0].RecordKey == key {
 			calls++
 			if calls > 100 {
 				t.Fatal("too many attempts to write the report")
