--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -49,24 +49,24 @@
 }
 
 // newLease returns a lease of this node.
-func (n *Node) newLease(key string, cadence recordlease.Cadence, fenced bool) *recordlease.Lease {
+func (n *Node) newLease(key string, cadence recordlease.Timing, fenced bool) *recordlease.Lease {
 	return n.addLease(n.leaseOptions(key, cadence, fenced))
 }
 
 // newOrderLease returns the lease by which versions are ordered: orders without an answer may be carried out late.
 func (n *Node) newOrderLease() *recordlease.Lease {
-	options := n.leaseOptions(orderLeaseKey, recordlease.Prompt, false)
-	options.LateFor = rollout.LateFor
+	options := n.leaseOptions(orderLeaseKey, recordlease.FastTiming, false)
+	options.MaxActDelay = rollout.MaxOrderDelay
 	options.Unanswered = func(now time.Time) []string { return n.rollout.Unanswered(now) }
 	return n.addLease(options)
 }
 
-func (n *Node) leaseOptions(key string, cadence recordlease.Cadence, fenced bool) recordlease.Options {
+func (n *Node) leaseOptions(key string, cadence recordlease.Timing, fenced bool) recordlease.Options {
 	return recordlease.Options{
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
-		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Cadence: cadence,
+		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Timing: cadence,
 		Fenced: fenced, StartedAt: n.startedAt,
-		Jitter: n.random.Float64(), Nodes: n.Nodes, Observed: n.observed, Clock: n.clock.bounds,
+		Jitter: n.random.Float64(), Nodes: n.Nodes, ObservedUntil: n.observed, Clock: n.clock.bounds,
 	}
 }
 
@@ -87,7 +87,7 @@
 }
 
 func (n *Node) newUsageDuty(windows usage.Windows) *usageDuty {
-	d := &usageDuty{clock: usage.Clock{Windows: windows}, lease: n.newLease(usageLeaseKey, recordlease.Unhurried, n.options.Duties.Fenced)}
+	d := &usageDuty{clock: usage.Clock{Windows: windows}, lease: n.newLease(usageLeaseKey, recordlease.SlowTiming, n.options.Duties.Fenced)}
 	d.keeper = &usage.ClockKeeper{
 		Queue: n.queue, Lease: d.lease, Clock: &d.clock, StartedAt: n.startedAt, StoreClock: n.clock.reading,
 		Key:      port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: UsageClockKey},
@@ -119,7 +119,7 @@
 }
 
 func (n *Node) newScalingDuty() *scalingDuty {
-	d := &scalingDuty{lease: n.newLease(scalingLeaseKey, recordlease.Unhurried, n.options.Duties.Fenced)}
+	d := &scalingDuty{lease: n.newLease(scalingLeaseKey, recordlease.SlowTiming, n.options.Duties.Fenced)}
 	d.scaler = scaling.New(scaling.Options{
 		Self: n.options.Name, Queue: n.queue, Lease: d.lease, Services: n.scaledServices,
 		ListedSince: n.listedSince,
@@ -208,7 +208,7 @@
 // CountRequest notes that a tenant's request began to run at a replica.
 func (n *Node) CountRequest(now, beganAt time.Time, tenant string) {
 	if n.usage != nil {
-		n.usage.counter.Note(now, beganAt, tenant)
+		n.usage.counter.Count(now, beganAt, tenant)
 	}
 }
 
@@ -230,5 +230,5 @@
 	if n.usage == nil {
 		return UsageFigures{}
 	}
-	return UsageFigures{Unwritten: int(n.usage.counter.Unwritten()), Reported: n.usage.reporter.Reported, Late: n.usage.reporter.Late}
+	return UsageFigures{Unwritten: int(n.usage.counter.Unwritten()), Reported: n.usage.reporter.Reported, Late: n.usage.reporter.LateReports}
 }
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -89,7 +89,7 @@
 func (n *Node) onSharedHealth(now time.Time, healthy bool) {
 	n.jobs.Observing(now, healthy)
 	for _, lease := range n.sortedLeases() {
-		lease.Observing(now, healthy)
+		lease.SetObserving(now, healthy)
 	}
 }
 
@@ -125,7 +125,7 @@
 		n.onEvacuations(now, change.Evacuations, whole)
 	}
 	for _, target := range change.Targets {
-		n.rollout.Name(target)
+		n.rollout.SetTarget(target)
 	}
 	silent := whole && len(change.Replicas) > mostAddedLines
 	listed := n.putReplicas(now, change.Replicas, silent)
--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -13,12 +13,13 @@
 
 // Bounds and defaults of an experiment's settings.
 const (
-	// MaximumSamples bounds the samples of a step.
-	MaximumSamples = 65536
-	// MaximumTokens bounds the tokens of a rollout.
-	MaximumTokens = 1 << 20
-	// MaximumExperiments bounds the experiments, since every node holds them all.
-	MaximumExperiments = 64
+	// MaxSamples is the maximum number of samples per step.
+	MaxSamples = 65536
+	// MaxTokens is the maximum number of tokens per rollout.
+	MaxTokens = 1 << 20
+	// MaxExperiments is the maximum number of experiments. All of them are held in memory by
+	// every node.
+	MaxExperiments = 64
 
 	defaultSamples        = 32
 	defaultStalenessBound = 2
@@ -26,12 +27,12 @@
 	defaultMaximumTokens  = 512
 	defaultShare          = 1
 	maximumWeight         = 100
-	// noService is what an operator sets for a service that is not wanted any more.
+	// noService is the value of a setting that removes a service.
 	noService = "none"
 )
 
-// Apply returns a copy of the configuration with the command carried out, or
-// why it cannot be.
+// Apply returns a copy of the configuration with the command applied, or an error if it cannot be
+// applied.
 func Apply(current *doorstepv1.Configuration, command *port.Command) (*doorstepv1.Configuration, error) {
 	next := proto.Clone(current).(*doorstepv1.Configuration)
 	next.Revision++
@@ -69,7 +70,7 @@
 	return fmt.Errorf("command %q does not change the configuration", command.Kind)
 }
 
-// FindExperiment returns the experiment of a name, or nil.
+// FindExperiment returns the experiment with the given name, or nil.
 func FindExperiment(c *doorstepv1.Configuration, name string) *doorstepv1.Experiment {
 	for _, experiment := range c.GetExperiments() {
 		if experiment.Name == name {
@@ -83,8 +84,8 @@
 	if FindExperiment(next, command.Experiment) != nil {
 		return fmt.Errorf("experiment %q exists already; use alter experiment", command.Experiment)
 	}
-	if len(next.Experiments) >= MaximumExperiments {
-		return fmt.Errorf("there are %d experiments already, the most allowed", MaximumExperiments)
+	if len(next.Experiments) >= MaxExperiments {
+		return fmt.Errorf("there are %d experiments already, the most allowed", MaxExperiments)
 	}
 	experiment := &doorstepv1.Experiment{
 		Name:           command.Experiment,
@@ -151,13 +152,13 @@
 			experiment.Scoring = ""
 		}
 	case "samples":
-		return setNumber(setting.Name, value, 1, MaximumSamples, func(n int64) { experiment.Samples = uint32(n) })
+		return setNumber(setting.Name, value, 1, MaxSamples, func(n int64) { experiment.Samples = uint32(n) })
 	case "staleness":
 		return setNumber(setting.Name, value, 0, 1<<20, func(n int64) { experiment.StalenessBound = n })
 	case "idle_weight":
 		return setNumber(setting.Name, value, 0, maximumWeight, func(n int64) { experiment.IdleWeight = uint32(n) })
 	case "max_tokens":
-		return setNumber(setting.Name, value, 1, MaximumTokens, func(n int64) { experiment.MaxTokens = uint32(n) })
+		return setNumber(setting.Name, value, 1, MaxTokens, func(n int64) { experiment.MaxTokens = uint32(n) })
 	case "share":
 		return setNumber(setting.Name, value, 1, maximumWeight, func(n int64) { experiment.Share = uint32(n) })
 	case "min_version":
@@ -170,10 +171,10 @@
 	return nil
 }
 
-func setNumber(name, value string, least, most int64, set func(int64)) error {
+func setNumber(name, value string, minimum, maximum int64, set func(int64)) error {
 	number, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || number < least || number > most {
-		return fmt.Errorf("%s is %q; allowed is a whole number from %d to %d", name, value, least, most)
+	if err != nil || number < minimum || number > maximum {
+		return fmt.Errorf("%s is %q; allowed is a whole number from %d to %d", name, value, minimum, maximum)
 	}
 	set(number)
 	return nil
@@ -259,14 +260,14 @@
 
 func sameDrain(a, b *doorstepv1.Drain) bool { return a.Kind == b.Kind && a.Name == b.Name }
 
-// Drained reports whether the configuration drains the named target.
-func Drained(c *doorstepv1.Configuration, kind doorstepv1.DrainKind, name string) bool {
-	wanted := &doorstepv1.Drain{Kind: kind, Name: name}
-	return slices.ContainsFunc(c.GetDrains(), func(d *doorstepv1.Drain) bool { return sameDrain(d, wanted) })
+// IsDrained reports whether the target is drained.
+func IsDrained(c *doorstepv1.Configuration, kind doorstepv1.DrainKind, name string) bool {
+	target := &doorstepv1.Drain{Kind: kind, Name: name}
+	return slices.ContainsFunc(c.GetDrains(), func(d *doorstepv1.Drain) bool { return sameDrain(d, target) })
 }
 
 func drain(next *doorstepv1.Configuration, target *doorstepv1.Drain) error {
-	if Drained(next, target.Kind, target.Name) {
+	if IsDrained(next, target.Kind, target.Name) {
 		return fmt.Errorf("%q is drained already", target.Name)
 	}
 	next.Drains = append(next.Drains, target)
@@ -274,7 +275,7 @@
 }
 
 func undrain(next *doorstepv1.Configuration, target *doorstepv1.Drain) error {
-	if !Drained(next, target.Kind, target.Name) {
+	if !IsDrained(next, target.Kind, target.Name) {
 		return fmt.Errorf("%q is not drained", target.Name)
 	}
 	next.Drains = slices.DeleteFunc(next.Drains, func(d *doorstepv1.Drain) bool { return sameDrain(d, target) })
