--- a/internal/version/batch/collect_test.go
+++ b/internal/version/batch/collect_test.go
@@ -8,7 +8,7 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// recordsOf counts a job's records in the store.
+// countRecords counts a job's records in the store.
 func (n *testNode) countRecords(id string) int {
 	contents := n.store.Range(n.now, port.RecordRange{Table: DataTable, Partition: Partition(id), From: id + "/", To: id + "0"})
 	head := n.store.Range(n.now, port.RecordRange{Table: port.SharedTable, Partition: Partition(id), From: id, To: id + "\x00"})
@@ -29,9 +29,9 @@
 		age  time.Duration
 		kept bool
 	}{
-		{"ended, young", true, endedRetention - time.Minute, true},
-		{"ended, old", true, endedRetention + time.Minute, false},
-		{"open, old", false, endedRetention + time.Minute, true},
+		{"ended recently", true, endedRetention - time.Minute, true},
+		{"ended, past its retention", true, endedRetention + time.Minute, false},
+		{"open, past the retention of ended jobs", false, endedRetention + time.Minute, true},
 		{"abandoned", false, abandonedRetention + time.Minute, false},
 	} {
 		store := newStore()
@@ -53,13 +53,13 @@
 			t.Errorf("%s: known %t, should be %t", c.name, known, c.kept)
 		}
 		if c.age < abandonedRetention && other.countRecords("j2") != neighbour {
-			t.Errorf("%s: another job's records went", c.name)
+			t.Errorf("%s: another job's records were deleted", c.name)
 		}
 	}
 }
 
-// TestCollectionGoesOn: a collection whose write failed is begun anew, by another node too.
-func TestCollectionGoesOn(t *testing.T) {
+// TestCollectResumes tests that a failed deletion can be resumed by another node.
+func TestCollectResumes(t *testing.T) {
 	store := newStore()
 	owner, other := newTestNode("a", store), newTestNode("b", store)
 	owner.accept(newJob("j", 2))
@@ -74,33 +74,33 @@
 	}
 	owner.collect(3 * collectInterval)
 	if owner.countRecords("j") == 0 {
-		t.Fatal("nothing can be deleted while the store is silent")
+		t.Fatal("records were deleted although the store does not answer")
 	}
 	other.collect(3 * collectInterval)
 	if other.countRecords("j") != 0 {
-		t.Error("the records are still there")
+		t.Error("the records were not deleted")
 	}
 	owner.commitHook = nil
 	owner.collect(3 * collectInterval)
 	if _, known := owner.jobs.Known("j"); known {
-		t.Error("a head that another node deleted is forgotten")
+		t.Error("a head record deleted by another node is still known")
 	}
 }
 
-func TestPacesAreToldNowAndThen(t *testing.T) {
+func TestPublishesPaces(t *testing.T) {
 	o := &ownedJob{startedAt: epoch}
 	for _, c := range []struct {
 		after time.Duration
 		tells bool
 	}{{0, true}, {pacePublishWindow - 1, true}, {pacePublishWindow, false}, {paceInterval - 1, false}, {paceInterval, true}, {5*paceInterval + pacePublishWindow, false}} {
 		if got := o.publishesPaces(epoch.Add(c.after)); got != c.tells {
-			t.Errorf("%s after the beginning: told %t, should be %t", c.after, got, c.tells)
+			t.Errorf("%s after the start: published %t, want %t", c.after, got, c.tells)
 		}
 	}
 }
 
-// TestContentIsCollectedInItsHomes: to delete a job's records is to read them. The holder of the duty must not
-// where it lies outside of the job's homes; a node of a home does it some time later.
+// TestContentIsCollectedInItsHomes tests that the records of a job are not read by a lease
+// holder outside its home regions, and are deleted later by a node inside.
 func TestContentIsCollectedInItsHomes(t *testing.T) {
 	store := newStore()
 	owner, outside, inside := newRegionalNode("a", "north", store, "north"), newRegionalNode("b", "south", store, "north"), newRegionalNode("c", "north", store, "north")
@@ -108,26 +108,26 @@
 	owner.jobs.End(owner.now, "j", func(time.Time, Outcome) {})
 	owner.runTasks()
 	later := owner.now.Add(endedRetention + time.Minute)
-	for _, one := range []*testNode{outside, inside} {
-		syncHeads(one)
-		one.now = later
+	for _, node := range []*testNode{outside, inside} {
+		syncHeads(node)
+		node.now = later
 	}
 	outside.rangeHook = func(query port.RecordRange) (port.RecordResult, bool) {
 		if query.Table == DataTable {
-			t.Error("the content is read outside of its homes")
+			t.Error("content was read outside the home regions")
 		}
 		return port.RecordResult{}, false
 	}
 	outside.collect(5 * collectInterval)
 	outside.rangeHook = nil
 	if outside.countRecords("j") == 0 {
-		t.Error("collected from outside of the homes")
+		t.Error("records were deleted from outside the home regions")
 	}
 	for end := inside.now.Add(regionCollectSpread); inside.now.Before(end); inside.now = inside.now.Add(collectInterval) {
 		inside.jobs.Collect(inside.now, false)
 		inside.runTasks()
 	}
 	if left := inside.countRecords("j"); left > 0 {
-		t.Errorf("%d records are left where no holder of the duty lies in the homes", left)
+		t.Errorf("%d records were not deleted by a node in the home region", left)
 	}
 }
--- a/internal/version/batch/holdback_test.go
+++ b/internal/version/batch/holdback_test.go
@@ -8,7 +8,7 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// groupedJob has groups of four items, of which the client waits for some.
+// newGroupedJob returns a job with groups of four items, of which the client requests a number.
 func newGroupedJob(groups, desired int) *doorstepv1.BatchJob {
 	job := newJob("j", 4*groups)
 	job.DesiredGroups = int32(desired)
@@ -22,24 +22,23 @@
 	const due = 8 * time.Second
 	for _, c := range []struct {
 		name string
-		// at is the job's age when the items before the last ones are finished, left how
-		// many are not.
+		// at is the job's age when all items but those in left finish.
 		at   time.Duration
 		left []int
-		// desired is how many of the four groups the client waits for.
+		// desired is the number of groups requested by the client.
 		desired int
-		// after is how long it takes until the results are looked for.
+		// after is the delay before the results are read.
 		after  time.Duration
 		listed int
 	}{
-		{"early: listed as they come", 2 * time.Second, []int{0}, 4, 500 * time.Millisecond, 15},
-		{"late: the last are waited for", 6500 * time.Millisecond, []int{0}, 4, 500 * time.Millisecond, 0},
-		{"late, but many are missing", 6500 * time.Millisecond, []int{0, 1, 2, 3, 4}, 4, 500 * time.Millisecond, 11},
-		{"late, and the groups that the client waits for are whole", 6500 * time.Millisecond, []int{0}, 3, 500 * time.Millisecond, 15},
-		{"late, and one of the groups that the client waits for is missing", 6500 * time.Millisecond, []int{0, 4}, 3, 500 * time.Millisecond, 0},
-		{"the results are due", 6500 * time.Millisecond, []int{0}, 4, 1600 * time.Millisecond, 15},
-		{"no groups are waited for", 6500 * time.Millisecond, []int{0}, 0, 500 * time.Millisecond, 15},
-		{"all are finished", 6500 * time.Millisecond, nil, 4, 500 * time.Millisecond, 16},
+		{"early: listed immediately", 2 * time.Second, []int{0}, 4, 500 * time.Millisecond, 15},
+		{"late: held until the last item", 6500 * time.Millisecond, []int{0}, 4, 500 * time.Millisecond, 0},
+		{"late, but many items are missing", 6500 * time.Millisecond, []int{0, 1, 2, 3, 4}, 4, 500 * time.Millisecond, 11},
+		{"late, and the requested groups are complete", 6500 * time.Millisecond, []int{0}, 3, 500 * time.Millisecond, 15},
+		{"late, and one of the requested groups is incomplete", 6500 * time.Millisecond, []int{0, 4}, 3, 500 * time.Millisecond, 0},
+		{"deadline reached", 6500 * time.Millisecond, []int{0}, 4, 1600 * time.Millisecond, 15},
+		{"no groups requested", 6500 * time.Millisecond, []int{0}, 0, 500 * time.Millisecond, 15},
+		{"all items are finished", 6500 * time.Millisecond, nil, 4, 500 * time.Millisecond, 16},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newTestNode("a", newStore())
@@ -58,14 +57,15 @@
 			}
 			n.elapse(c.after)
 			if got := len(n.results(t, "j")); got != c.listed {
-				t.Errorf("%d results are listed, should be %d", got, c.listed)
+				t.Errorf("%d results listed, want %d", got, c.listed)
 			}
 		})
 	}
 }
 
-// TestHeldBackResultsComeTogether: the last item brings all that was held back in one write.
-func TestHeldBackResultsComeTogether(t *testing.T) {
+// TestHeldResultsAreListedTogether tests that the last item releases all held results in one
+// write.
+func TestHeldResultsAreListedTogether(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.route.ResultDeadline = 8 * time.Second
 	n.accept(newGroupedJob(4, 4))
@@ -78,12 +78,13 @@
 	n.elapse(300 * time.Millisecond)
 	n.finish(runs[0], task.RunCompleted, 2, 10)
 	if got := len(n.results(t, "j")); got != 16 {
-		t.Errorf("%d results are listed with the last", got)
+		t.Errorf("%d results listed with the last one, want 16", got)
 	}
 }
 
-// TestHeldBackResultsOutliveTheirOwner: the next owner has the texts and lists them.
-func TestHeldBackResultsOutliveTheirOwner(t *testing.T) {
+// TestHeldResultsSurviveOwner tests that a new owner lists the checkpointed texts of held
+// results.
+func TestHeldResultsSurviveOwner(t *testing.T) {
 	owner := newTestNode("a", newStore())
 	owner.route.ResultDeadline = 8 * time.Second
 	job := newGroupedJob(4, 4)
@@ -102,7 +103,7 @@
 	}
 	owner.elapse(checkpointInterval + 100*time.Millisecond)
 	if got := len(owner.results(t, "j")); got != 0 {
-		t.Fatalf("%d results are listed, should be held back", got)
+		t.Fatalf("%d results listed, want all held back", got)
 	}
 	other := newTestNode("b", owner.store)
 	other.route.ResultDeadline = 8 * time.Second
@@ -111,10 +112,10 @@
 	other.elapse(2 * time.Second)
 	runs, calls := other.takeRuns(), other.takeCalls()
 	if len(runs) != 1 || len(calls) != 0 {
-		t.Errorf("%d runs and %d scoring calls: one item is missing", len(runs), len(calls))
+		t.Errorf("%d runs and %d scoring calls, want 1 and 0", len(runs), len(calls))
 	}
 	got := other.results(t, "j")
 	if len(got) != 15 || got[0].Score != "signed" || got[0].Message == "" {
-		t.Errorf("%d results are listed", len(got))
+		t.Errorf("%d results listed, want 15 with text and score", len(got))
 	}
 }
--- a/internal/version/batch/move_test.go
+++ b/internal/version/batch/move_test.go
@@ -13,32 +13,31 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// TestMove: texts are those of learned: of those with a hint of 1000 tokens half is cut at 160
-// events and half ends at 60, those with one of 100 end at 20.
-func TestMove(t *testing.T) {
-	const fast, slow, troubled = 50 * time.Millisecond, 65 * time.Millisecond, 200 * time.Millisecond
+// TestMoveDecision uses the samples of newLengthHistory.
+func TestMoveDecision(t *testing.T) {
+	const fast, slow, degraded = 50 * time.Millisecond, 65 * time.Millisecond, 200 * time.Millisecond
 	for _, c := range []struct {
 		name  string
 		texts int
 		run   moveCandidate
 		want  moveReason
 	}{
-		{"it may be one of the longest, which end too late here", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 1000, timeLeft: 7 * time.Second, hasDeadline: true}, delaysStep},
-		{"the longest end in time here", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 1000, timeLeft: 12 * time.Second, hasDeadline: true}, noMove},
-		{"nothing like it is that long", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
-		{"it outgrew its hint by more than any", 100, moveCandidate{pace: slow, bestPace: fast, events: 24, runEvents: 24, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
-		{"it ends at any moment", 100, moveCandidate{pace: slow, bestPace: fast, events: 158, lengthHint: 1000, timeLeft: 0, hasDeadline: true}, noMove},
-		{"the results are due", 100, moveCandidate{pace: slow, bestPace: fast, events: 100, lengthHint: 1000, timeLeft: -time.Second, hasDeadline: true}, delaysStep},
-		{"nothing is ever due", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 1000}, delaysStep},
-		{"as fast as others", 100, moveCandidate{pace: 58 * time.Millisecond, bestPace: fast, events: 8, lengthHint: 1000, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
-		{"in trouble, with time left", 100, moveCandidate{pace: troubled, bestPace: fast, events: 8, lengthHint: 100, timeLeft: 30 * time.Second, hasDeadline: true}, degradedReplica},
-		{"in trouble, about to end", 100, moveCandidate{pace: 90 * time.Millisecond, bestPace: fast, events: 19, runEvents: 19, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
-		{"no texts are known: a short one", 0, moveCandidate{pace: slow, bestPace: fast, events: 8, runEvents: 8, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
-		{"no texts are known: one that is not short any more", 0, moveCandidate{pace: slow, bestPace: fast, events: 16, runEvents: 16, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
-		{"no texts are known: one that was expected to be long", 0, moveCandidate{pace: slow, bestPace: fast, events: 8, runEvents: 8, long: true, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
-		{"no texts are known, but the most that it may have ends in time", 0, moveCandidate{pace: slow, bestPace: fast, events: 16, runEvents: 16, maxEvents: 90, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
-		{"no texts are known, and the most that it may have does not", 0, moveCandidate{pace: slow, bestPace: fast, events: 16, runEvents: 16, maxEvents: 140, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
-		{"no texts are known: in trouble", 0, moveCandidate{pace: troubled, bestPace: fast, events: 3, runEvents: 3, timeLeft: 7 * time.Second, hasDeadline: true}, degradedReplica},
+		{"possibly one of the longest, which miss the deadline", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 1000, timeLeft: 7 * time.Second, hasDeadline: true}, delaysStep},
+		{"the longest meet the deadline", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 1000, timeLeft: 12 * time.Second, hasDeadline: true}, noMove},
+		{"no comparable text is long enough", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
+		{"exceeds its hint by more than any sample", 100, moveCandidate{pace: slow, bestPace: fast, events: 24, runEvents: 24, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
+		{"about to end", 100, moveCandidate{pace: slow, bestPace: fast, events: 158, lengthHint: 1000, timeLeft: 0, hasDeadline: true}, noMove},
+		{"deadline reached", 100, moveCandidate{pace: slow, bestPace: fast, events: 100, lengthHint: 1000, timeLeft: -time.Second, hasDeadline: true}, delaysStep},
+		{"no deadline", 100, moveCandidate{pace: slow, bestPace: fast, events: 8, lengthHint: 1000}, delaysStep},
+		{"not slow", 100, moveCandidate{pace: 58 * time.Millisecond, bestPace: fast, events: 8, lengthHint: 1000, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
+		{"degraded, with time left", 100, moveCandidate{pace: degraded, bestPace: fast, events: 8, lengthHint: 100, timeLeft: 30 * time.Second, hasDeadline: true}, degradedReplica},
+		{"degraded, about to end", 100, moveCandidate{pace: 90 * time.Millisecond, bestPace: fast, events: 19, runEvents: 19, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
+		{"no samples: short", 0, moveCandidate{pace: slow, bestPace: fast, events: 8, runEvents: 8, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
+		{"no samples: no longer short", 0, moveCandidate{pace: slow, bestPace: fast, events: 16, runEvents: 16, lengthHint: 100, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
+		{"no samples: expected to be long", 0, moveCandidate{pace: slow, bestPace: fast, events: 8, runEvents: 8, long: true, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
+		{"no samples, but the maximum length meets the deadline", 0, moveCandidate{pace: slow, bestPace: fast, events: 16, runEvents: 16, maxEvents: 90, timeLeft: 7 * time.Second, hasDeadline: true}, noMove},
+		{"no samples, and the maximum length misses the deadline", 0, moveCandidate{pace: slow, bestPace: fast, events: 16, runEvents: 16, maxEvents: 140, timeLeft: 7 * time.Second, hasDeadline: true}, unknownLength},
+		{"no samples: degraded", 0, moveCandidate{pace: degraded, bestPace: fast, events: 3, runEvents: 3, timeLeft: 7 * time.Second, hasDeadline: true}, degradedReplica},
 	} {
 		if got := c.run.decide(newLengthHistory(c.texts)); got != c.want {
 			t.Errorf("%s: %q, should be %q", c.name, got, c.want)
@@ -46,22 +45,21 @@
 	}
 }
 
-// TestMoveIsLogged: the log tells which group's item was moved, and why.
 func TestMoveIsLogged(t *testing.T) {
 	n, runs := newProgressNode(t, 4, time.Second)
 	n.replica.LearnPace(n.now, 50*time.Millisecond)
 	if stop := runs[0].Progress(n.now, nil, 200*time.Millisecond); !stop {
-		t.Fatal("a run at a replica in trouble is not moved")
+		t.Fatal("a run on a degraded replica is not moved")
 	}
-	for _, one := range n.queue.Take() {
-		if line, ok := one.(task.Log); ok && line.Event == event.RunMoved {
+	for _, queued := range n.queue.Take() {
+		if line, ok := queued.(task.Log); ok && line.Event == event.RunMoved {
 			return
 		}
 	}
-	t.Error("the move is not logged")
+	t.Error("the move was not logged")
 }
 
-// TestMarkLong: what a text may become goes by the model's texts, once these are known.
+// TestMarkLong tests that long items are marked by length history, or by hint without one.
 func TestMarkLong(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -69,9 +67,9 @@
 		hints []int
 		want  []bool
 	}{
-		{"too few texts are known: a part of the items", 0, []int{1000, 900, 800, 100, 100}, []bool{true, false, false, false, false}},
-		{"all that may become the longest", 100, []int{1000, 900, 800, 100, 100}, []bool{true, true, true, false, false}},
-		{"none may", 100, []int{100, 100, 100, 100, 100}, []bool{false, false, false, false, false}},
+		{"too few samples: a fraction of the items", 0, []int{1000, 900, 800, 100, 100}, []bool{true, false, false, false, false}},
+		{"all that may be among the longest", 100, []int{1000, 900, 800, 100, 100}, []bool{true, true, true, false, false}},
+		{"none may be long", 100, []int{100, 100, 100, 100, 100}, []bool{false, false, false, false, false}},
 		{"no hints", 100, []int{0, 0, 0, 0, 0}, []bool{false, false, false, false, false}},
 	} {
 		n := newTestNode("a", newStore())
@@ -86,9 +84,9 @@
 	}
 }
 
-// TestMovesLookForWhatTheRunNeeds: a replica without the memory for the text, or one that the item must
-// not run at, is no reason to move it: it would begin anew at a slow one.
-func TestMovesLookForWhatTheRunNeeds(t *testing.T) {
+// TestMovePlacementRequirements tests that the dry run for a move includes the required memory
+// and the excluded endpoints, as the run might otherwise restart on a slow replica.
+func TestMovePlacementRequirements(t *testing.T) {
 	n, runs := newProgressNode(t, 4, time.Second)
 	n.jobs.options.ExpectedTokens = func(*port.Route, http.Header, int) int { return 700 }
 	it := &n.jobs.owned["j"].items[0]
@@ -103,6 +101,6 @@
 	}
 	runs[0].Progress(n.now, nil, 200*time.Millisecond)
 	if !wanted.Look || wanted.Tokens != 700 || !wanted.Exclude["taken"] {
-		t.Errorf("looked for %+v", wanted)
+		t.Errorf("placement request %+v", wanted)
 	}
 }
--- a/internal/version/batch/owner_test.go
+++ b/internal/version/batch/owner_test.go
@@ -10,8 +10,8 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// Seeds 236 and 249 of the cluster simulation: an item that always fails ran ten times.
-func TestFailuresOutliveTheirOwner(t *testing.T) {
+// An item that always fails must not get more attempts after a change of owner.
+func TestFailuresSurviveOwner(t *testing.T) {
 	store := newStore()
 	owner, other := newTestNode("a", store), newTestNode("b", store)
 	owner.accept(newJob("j", 1))
@@ -41,11 +41,11 @@
 		takes    bool
 		observes bool
 	}{
-		{"a silent owner", func(_, _ *testNode) {}, takeoverTimeout + 2*takeoverSpread, true, true},
-		{"a silent owner, too early", func(_, _ *testNode) {}, takeoverTimeout - 100*time.Millisecond, false, true},
-		{"a silent owner, but the store is slow", func(_, other *testNode) { other.latency = time.Second }, takeoverTimeout + 2*takeoverSpread, false, true},
-		{"a silent owner, but the watch has not heard of late", func(_, other *testNode) { other.watchLag = 10 * time.Second }, 10 * time.Second, false, true},
-		{"a silent owner, but the watch is broken", func(_, _ *testNode) {}, 10 * time.Second, false, false},
+		{"an unresponsive owner", func(_, _ *testNode) {}, takeoverTimeout + 2*takeoverSpread, true, true},
+		{"an unresponsive owner, too early", func(_, _ *testNode) {}, takeoverTimeout - 100*time.Millisecond, false, true},
+		{"an unresponsive owner, but the store is slow", func(_, other *testNode) { other.latency = time.Second }, takeoverTimeout + 2*takeoverSpread, false, true},
+		{"an unresponsive owner, but the watch is behind", func(_, other *testNode) { other.watchLag = 10 * time.Second }, 10 * time.Second, false, true},
+		{"an unresponsive owner, but the watch is interrupted", func(_, _ *testNode) {}, 10 * time.Second, false, false},
 		{"handed over", func(owner, _ *testNode) { owner.jobs.Stop(owner.now); owner.runTasks(); interruptAll(owner) }, takeoverSpread, true, true},
 		{"ended", func(owner, _ *testNode) {
 			owner.jobs.End(owner.now, "j", func(time.Time, Outcome) {})
@@ -81,7 +81,7 @@
 	syncHeads(other)
 	other.elapse(time.Second)
 	if runs := other.takeRuns(); len(runs) != 1 || runs[0].After != 12 {
-		t.Errorf("%+v: the next owner goes on from the text", runs)
+		t.Errorf("runs %+v, want one that resumes after event 12", runs)
 	}
 }
 
@@ -103,11 +103,11 @@
 	syncHeads(other)
 	other.elapse(3 * time.Second)
 	if runs := other.takeRuns(); len(runs) != 1 || runs[0].After != 40 {
-		t.Errorf("%+v: the next owner goes on from what was kept", runs)
+		t.Errorf("runs %+v, want one that resumes after event 40", runs)
 	}
 }
 
-func TestFormerOwnerIsRefused(t *testing.T) {
+func TestFormerOwnerIsRejected(t *testing.T) {
 	store := newStore()
 	owner, other := newTestNode("a", store), newTestNode("b", store)
 	owner.accept(newJob("j", 1))
@@ -123,12 +123,12 @@
 	}
 	owner.elapse(200 * time.Millisecond)
 	if got := owner.results(t, "j"); len(got) != 1 || got[0].Message != "j-0#1\nj-0#2" || owner.jobs.Owned() != 0 {
-		t.Errorf("%v: the result that was listed stays", got)
+		t.Errorf("results %v, want the one listed by the new owner", got)
 	}
 }
 
-// TestTakersSpreadByTheirNumber: before the others have heard of the first that takes a silent owner's job,
-// only so many try that one part of the store takes their writes within a second.
+// TestTakersSpreadByTheirNumber tests that the number of nodes that attempt a takeover, before
+// they can observe the first one, does not exceed the write rate of a partition.
 func TestTakersSpreadByTheirNumber(t *testing.T) {
 	const heardWithin, partWrites = time.Second / 3, 200
 	for _, c := range []struct{ nodes, most int }{{10, 10}, {100, 40}, {986, partWrites}, {1972, partWrites}} {
@@ -139,19 +139,20 @@
 			spreads = append(spreads, j.spread("j"))
 		}
 		first, tries := slices.Min(spreads), 0
-		for _, one := range spreads {
-			if one <= first+heardWithin {
+		for _, each := range spreads {
+			if each <= first+heardWithin {
 				tries++
 			}
 		}
 		if tries > c.most || first > takeoverSpread {
-			t.Errorf("%d of %d nodes try, the first after %s", tries, c.nodes, first)
+			t.Errorf("%d of %d nodes attempt a takeover, the first after %s", tries, c.nodes, first)
 		}
 	}
 }
 
-// TestJobsThatBeginDuringAStopAreHandedOver: a job is accepted, or taken over, by a call that was under way when
-// the planned stop began. Its owner would leave without a word, and the next one wait until it is held for silent.
+// TestJobsThatBeginDuringAStopAreHandedOver tests jobs accepted or taken over by a call that
+// was in progress when a planned stop began. They must be released, or the next owner would
+// have to wait for the takeover timeout.
 func TestJobsThatBeginDuringAStopAreHandedOver(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -175,10 +176,10 @@
 		c.begin(n)
 		n.elapse(time.Second)
 		if head := n.jobs.heads["j"]; head == nil || head.Owner != "" || n.jobs.Owned() != 0 {
-			t.Errorf("%s: the head is %v, %d jobs owned", c.name, head, n.jobs.Owned())
+			t.Errorf("%s: head record %v, %d jobs owned", c.name, head, n.jobs.Owned())
 		}
 		if runs := n.takeRuns(); len(runs) > 0 {
-			t.Errorf("%s: %d runs began", c.name, len(runs))
+			t.Errorf("%s: %d runs started", c.name, len(runs))
 		}
 	}
 }
--- a/internal/version/batch/preference_test.go
+++ b/internal/version/batch/preference_test.go
@@ -10,58 +10,57 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// twoRegions is the topology of a node in a zone of two regions.
+// twoRegionTopology returns the topology of a node in a zone of one of two regions.
 func twoRegionTopology(zone string) port.Topology {
 	regions := map[string]string{"near-1": "near", "near-2": "near", "far-1": "far", "far-2": "far"}
 	return port.Topology{Zone: zone, Region: regions[zone], Regions: regions}
 }
 
-// TestNearerOwner gives a new job to an owner near the store where the one that it would have had
-// is clearly farther; a is the node that accepts it.
-func TestNearerOwner(t *testing.T) {
-	open := func(model, owner string, latency int32) *doorstepv1.BatchJobHead {
+// TestCloserOwner assigns a new job on node a, where owners differ in their store latency.
+func TestCloserOwner(t *testing.T) {
+	openHead := func(model, owner string, latency int32) *doorstepv1.BatchJobHead {
 		return &doorstepv1.BatchJobHead{Model: model, Owner: owner, OwnerIncarnation: 7, Total: 5, OwnerPlace: &doorstepv1.OwnerPlace{Zone: "far-1", StoreLatencyMs: latency}}
 	}
-	busy, ended := open("n", "b", 4), open("n", "b", 4)
+	busy, ended := openHead("n", "b", 4), openHead("n", "b", 4)
 	busy.Total = maxOwnerItems + 1
 	ended.Ended = true
-	untold := open("m", "c", 0)
-	untold.OwnerPlace = nil
+	unknownPlace := openHead("m", "c", 0)
+	unknownPlace.OwnerPlace = nil
 	for _, c := range []struct {
 		name string
-		// own is how long this node's calls to the store take.
+		// own is the store latency of this node.
 		own   time.Duration
 		heads []*doorstepv1.BatchJobHead
-		// age is for how long the heads stand unchanged.
+		// age is how long the head records have been unchanged.
 		age  time.Duration
 		want string
 	}{
-		{"a region away: the way of a hand-over is as long", 45 * time.Millisecond, []*doorstepv1.BatchJobHead{open("n", "b", 4)}, 0, "a"},
-		{"behind a full link", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{open("n", "b", 4)}, 0, "b"},
-		{"behind a full link, with nobody near", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{open("n", "b", 350)}, 0, "a"},
-		{"the nearest of several", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{open("n", "c", 40), open("n", "b", 4), open("n", "d", 90)}, 0, "b"},
-		{"one near that was not heard of lately", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{open("n", "b", 4)}, ownerActiveWithin + time.Millisecond, "a"},
-		{"one near that has enough", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{busy}, 0, "a"},
-		{"one near whose job has ended", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{ended}, 0, "a"},
-		{"the model's owner is behind a full link, this node is not", 4 * time.Millisecond, []*doorstepv1.BatchJobHead{open("m", "b", 400)}, 0, "a"},
-		{"the model's owner is a region away, this node is not", 4 * time.Millisecond, []*doorstepv1.BatchJobHead{open("m", "b", 45)}, 0, "b"},
-		{"the model's owner does not tell its place", 4 * time.Millisecond, []*doorstepv1.BatchJobHead{untold, open("n", "b", 4)}, 0, "c"},
+		{"another region: the gain is too small", 45 * time.Millisecond, []*doorstepv1.BatchJobHead{openHead("n", "b", 4)}, 0, "a"},
+		{"high latency", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{openHead("n", "b", 4)}, 0, "b"},
+		{"high latency, no closer owner", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{openHead("n", "b", 350)}, 0, "a"},
+		{"the closest of several", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{openHead("n", "c", 40), openHead("n", "b", 4), openHead("n", "d", 90)}, 0, "b"},
+		{"a closer, inactive owner", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{openHead("n", "b", 4)}, ownerActiveWithin + time.Millisecond, "a"},
+		{"a closer owner at its item limit", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{busy}, 0, "a"},
+		{"a closer owner of an ended job", 400 * time.Millisecond, []*doorstepv1.BatchJobHead{ended}, 0, "a"},
+		{"the model's owner has a high latency, this node does not", 4 * time.Millisecond, []*doorstepv1.BatchJobHead{openHead("m", "b", 400)}, 0, "a"},
+		{"the model's owner is in another region", 4 * time.Millisecond, []*doorstepv1.BatchJobHead{openHead("m", "b", 45)}, 0, "b"},
+		{"the place of the model's owner is unknown", 4 * time.Millisecond, []*doorstepv1.BatchJobHead{unknownPlace, openHead("n", "b", 4)}, 0, "c"},
 	} {
 		n := newTestNode("a", newStore())
 		n.jobs.options.Topology = twoRegionTopology("far-2")
 		n.latency = c.own
-		for i, one := range c.heads {
-			n.jobs.setHead(n.now, string(rune('p'+i)), one, int64(i+1))
+		for i, headRecord := range c.heads {
+			n.jobs.setHead(n.now, string(rune('p'+i)), headRecord, int64(i+1))
 		}
 		if got := n.jobs.assignOwner(n.now.Add(c.age), "m", nil); got.name != c.want {
-			t.Errorf("%s: given to %s, should be %s", c.name, got.name, c.want)
+			t.Errorf("%s: assigned to %s, want %s", c.name, got.name, c.want)
 		}
 	}
 }
 
-// TestNearerOwnersStayWithinRegions: a job that must stay in some regions is not given to an owner of
-// which no head tells that it lies there, however near to the store it is.
-func TestNearerOwnersStayWithinRegions(t *testing.T) {
+// TestCloserOwnerWithinRegions tests that a job with home regions is not assigned to a closer
+// owner unless that is known to be in one of them.
+func TestCloserOwnerWithinRegions(t *testing.T) {
 	for _, c := range []struct {
 		owned []string
 		want  string
@@ -73,33 +72,32 @@
 			Model: "n", Owner: "b", OwnerIncarnation: 7, Total: 5, Regions: c.owned, OwnerPlace: &doorstepv1.OwnerPlace{Zone: "far-1", StoreLatencyMs: 4},
 		}, 1)
 		if got := n.jobs.assignOwner(n.now, "m", []string{"far"}); got.name != c.want {
-			t.Errorf("beside an owner of regions %v: given to %s, should be %s", c.owned, got.name, c.want)
+			t.Errorf("with an owner in regions %v: assigned to %s, want %s", c.owned, got.name, c.want)
 		}
 	}
 }
 
-// TestHeadsTellTheOwnersPlace: the head tells where its owner stands, also once another has taken
-// the job.
-func TestHeadsTellTheOwnersPlace(t *testing.T) {
+// TestHeadOwnerPlace tests that the head record has the place of the current owner.
+func TestHeadOwnerPlace(t *testing.T) {
 	store := newStore()
 	owner, other := newTestNode("a", store), newTestNode("b", store)
 	owner.jobs.options.Topology, other.jobs.options.Topology = twoRegionTopology("far-1"), twoRegionTopology("near-1")
 	owner.latency, other.latency = 45*time.Millisecond, 4*time.Millisecond
 	owner.accept(newJob("j", 1))
 	if place := owner.jobs.heads["j"].OwnerPlace; place.GetZone() != "far-1" || place.GetStoreLatencyMs() != 45 {
-		t.Errorf("accepted at %v", place)
+		t.Errorf("place of the accepting owner: %v", place)
 	}
 	other.now = owner.now
 	syncHeads(other)
 	other.elapse(2 * time.Second)
 	if place := other.jobs.heads["j"].OwnerPlace; place.GetZone() != "near-1" || place.GetStoreLatencyMs() != 4 {
-		t.Errorf("taken over at %v", place)
+		t.Errorf("place of the new owner: %v", place)
 	}
 }
 
-// TestOneRegionTellsNoPlace: in a deployment of one region, whether or not that has a name, nothing is
-// told of places, and nobody is preferred for its distance.
-func TestOneRegionTellsNoPlace(t *testing.T) {
+// TestSingleRegionHasNoPlace tests that places and latencies are not used with a single region,
+// whether or not it has a name.
+func TestSingleRegionHasNoPlace(t *testing.T) {
 	for _, topology := range []port.Topology{{Zone: "z"}, {Zone: "z", Region: "north", Regions: map[string]string{"y": "north", "z": "north"}}} {
 		n := newTestNode("a", newStore())
 		n.jobs.options.Topology = topology
@@ -112,8 +110,8 @@
 	}
 }
 
-// TestKeptTextsAreWaitedForFromAfar: how long a new owner waits for the texts of the former one.
-func TestKeptTextsAreWaitedForFromAfar(t *testing.T) {
+// TestCheckpointReadTimeout tests how long a new owner waits for checkpoints.
+func TestCheckpointReadTimeout(t *testing.T) {
 	for _, c := range []struct {
 		topology port.Topology
 		latency  time.Duration
@@ -128,12 +126,12 @@
 		n.accept(newJob("j", 1))
 		n.jobs.owned["j"].readCheckpoints(n.now)
 		if got := n.jobs.owned["j"].startAfter.Sub(n.now); got != c.want {
-			t.Errorf("%s at %s: waits %s, should be %s", c.topology.Zone, c.latency, got, c.want)
+			t.Errorf("%s with latency %s: waits %s, want %s", c.topology.Zone, c.latency, got, c.want)
 		}
 	}
 }
 
-// TestTakeoversAreSpread: the nodes that would take a job don't come at one moment.
+// TestTakeoversAreSpread tests that nodes do not attempt a takeover at the same time.
 func TestTakeoversAreSpread(t *testing.T) {
 	least, most := time.Hour, time.Duration(0)
 	for i := range 200 {
@@ -145,33 +143,31 @@
 	}
 }
 
-// TestTheFirstBeatIsPacedFromTheAcceptance: the answer to an acceptance is under way for 700 ms; the next
-// write goes out with it. Had it waited for as long as between two beats, they would have reached the
-// store 1,050 ms apart.
-func TestTheFirstBeatIsPacedFromTheAcceptance(t *testing.T) {
+// TestFirstHeartbeatAfterAcceptance tests that the first heartbeat is due by the time the head
+// record was sent, not by the time the write was answered.
+func TestFirstHeartbeatAfterAcceptance(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.jobs.Accept(n.now, newJob("j", 1), func(time.Time, Outcome) {})
-	for _, one := range n.queue.Take() {
-		if commit, ok := one.(task.Commit); ok {
+	for _, queued := range n.queue.Take() {
+		if commit, ok := queued.(task.Commit); ok {
 			n.now = n.now.Add(700 * time.Millisecond)
 			commit.Done(n.now, n.store.Commit(n.now, commit.Transaction))
 		}
 	}
-	beats := 0
-	for _, one := range n.queue.Take() {
-		if _, ok := one.(task.Commit); ok {
-			beats++
+	heartbeats := 0
+	for _, queued := range n.queue.Take() {
+		if _, ok := queued.(task.Commit); ok {
+			heartbeats++
 		}
 	}
-	if beats != 1 {
-		t.Errorf("%d writes of the head follow the answer at once", beats)
+	if heartbeats != 1 {
+		t.Errorf("%d heartbeats sent with the answer, want 1", heartbeats)
 	}
 }
 
-// TestBeatsArePacedFromTheirSending: writes that are under way for 700 ms reach the store no
-// further apart than another node waits. With beats paced from the answer they came 1,050 ms apart,
-// and a node near the store took the job of an owner that lived.
-func TestBeatsArePacedFromTheirSending(t *testing.T) {
+// TestHeartbeatInterval tests that the heartbeats of an owner with a high store latency arrive
+// within the takeover timeout.
+func TestHeartbeatInterval(t *testing.T) {
 	const oneWay = 350 * time.Millisecond
 	n := newTestNode("a", newStore())
 	n.accept(newJob("j", 1))
@@ -180,8 +176,8 @@
 	var answers []task.Later
 	for n.now.Sub(began) < 10*time.Second {
 		n.jobs.Tick(n.now)
-		for _, one := range n.queue.Take() {
-			commit, ok := one.(task.Commit)
+		for _, queued := range n.queue.Take() {
+			commit, ok := queued.(task.Commit)
 			if !ok {
 				continue
 			}
@@ -193,28 +189,28 @@
 		}
 		due := answers
 		answers = nil
-		for _, one := range due {
-			if n.now.Sub(began) < one.After {
-				answers = append(answers, one)
+		for _, pending := range due {
+			if n.now.Sub(began) < pending.After {
+				answers = append(answers, pending)
 				continue
 			}
-			one.Do(n.now)
+			pending.Do(n.now)
 		}
 		n.now = n.now.Add(25 * time.Millisecond)
 	}
 	for i := 1; i < len(writtenAt); i++ {
 		if apart := writtenAt[i].Sub(writtenAt[i-1]); apart >= takeoverTimeout {
-			t.Fatalf("beats %d and %d reach the store %s apart", i, i+1, apart)
+			t.Fatalf("heartbeats %d and %d arrive %s apart", i, i+1, apart)
 		}
 	}
 	if len(writtenAt) < 10 {
-		t.Errorf("%d beats in ten seconds", len(writtenAt))
+		t.Errorf("%d heartbeats in 10 s", len(writtenAt))
 	}
 }
 
-// TestOfHeadsThatChangeAtOneMomentTheNewestCounts: one call of a watch may bring several heads of an owner,
-// whose calls to the store took different times when it wrote them, and jobs of one millisecond.
-func TestOfHeadsThatChangeAtOneMomentTheNewestCounts(t *testing.T) {
+// TestHighestRevisionWinsTies tests that assignments don't depend on the order of head records
+// that were observed at the same time.
+func TestHighestRevisionWinsTies(t *testing.T) {
 	head := func(owner string, latency int32) *doorstepv1.BatchJobHead {
 		return &doorstepv1.BatchJobHead{Model: "m", Owner: owner, OwnerIncarnation: 7, AcceptedAtMs: 1, Total: 5,
 			OwnerPlace: &doorstepv1.OwnerPlace{Zone: "far-1", StoreLatencyMs: latency}}
@@ -227,7 +223,7 @@
 		n.jobs.setHead(n.now, "q", head("c", 400), 2)
 		n.jobs.setHead(n.now, "r", head("c", 40), 3)
 		if got := n.jobs.assignOwner(n.now, "m", nil); got.name != "c" {
-			t.Fatalf("given to %s: c's job is the newest of one millisecond, and its newest head tells that it is near", got.name)
+			t.Fatalf("assigned to %s, want c, the owner of the newest job", got.name)
 		}
 	}
 }
--- a/internal/version/batch/pulse_test.go
+++ b/internal/version/batch/pulse_test.go
@@ -9,14 +9,14 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// reader is a client as the users describe it: it reads again half a second after the start of
-// its last read, or at its answer, and a read that finds nothing is held for a second.
+// pollingClient starts a read half a second after it started the previous one or when that one
+// is answered, whichever is later. A read without results is held for a second.
 type pollingClient struct {
 	startAt time.Time
 	waiting bool
 }
 
-// step lets time pass up to now, with results listed at that moment or none.
+// step advances the client to now; listed is set if results are listed at that time.
 func (r *pollingClient) step(now time.Time, listed bool) (got bool) {
 	switch {
 	case !r.waiting && !now.Before(r.startAt):
@@ -33,25 +33,25 @@
 	return false
 }
 
-// TestPulsesLeaveAReadThatBeganEarly: in whatever rhythm the client reads at first, the read that
-// is open when the last result is listed began at least half a second before.
-func TestPulsesLeaveAReadThatBeganEarly(t *testing.T) {
+// TestFlushesAlignReads tests that the read that is open when the last result is listed started
+// at least half a second earlier, regardless of the client's initial phase.
+func TestFlushesAlignReads(t *testing.T) {
 	const due, tick = 7500 * time.Millisecond, 10 * time.Millisecond
 	for phase := time.Duration(0); phase < time.Second; phase += 50 * time.Millisecond {
-		for _, whole := range []time.Duration{7900 * time.Millisecond, 8050 * time.Millisecond} {
+		for _, completeAfter := range []time.Duration{7900 * time.Millisecond, 8050 * time.Millisecond} {
 			client, p := pollingClient{startAt: epoch.Add(5*time.Second + phase)}, flushSchedule{}
-			for at := 5 * time.Second; at < whole; at += tick {
+			for at := 5 * time.Second; at < completeAfter; at += tick {
 				now := epoch.Add(at)
-				client.step(now, at >= due-due/holdbackDivisor && p.next(now, epoch.Add(whole), epoch.Add(due-releaseMargin)) != noFlush)
+				client.step(now, at >= due-due/holdbackDivisor && p.next(now, epoch.Add(completeAfter), epoch.Add(due-releaseMargin)) != noFlush)
 			}
-			if began := epoch.Add(whole).Sub(client.startAt); !client.waiting || began < 450*time.Millisecond {
-				t.Errorf("phase %s, whole after %s: the last read began %s before (open %t)", phase, whole, began, client.waiting)
+			if began := epoch.Add(completeAfter).Sub(client.startAt); !client.waiting || began < 450*time.Millisecond {
+				t.Errorf("phase %s, complete after %s: the last read started %s before (open %t)", phase, completeAfter, began, client.waiting)
 			}
 		}
 	}
 }
 
-func TestPulse(t *testing.T) {
+func TestFlushSchedule(t *testing.T) {
 	const due = 7400 * time.Millisecond
 	at := func(d time.Duration) time.Time { return epoch.Add(d) }
 	for _, c := range []struct {
@@ -59,26 +59,25 @@
 		now, whole, last time.Duration
 		want             flush
 	}{
-		{"the last before the groups are whole", 6200 * time.Millisecond, 7 * time.Second, 0, fullFlush},
-		{"the one before that", 5300 * time.Millisecond, 7 * time.Second, 0, partialFlush},
-		{"between two", 5800 * time.Millisecond, 7 * time.Second, 0, noFlush},
-		{"the groups are about to be whole", 6900 * time.Millisecond, 7 * time.Second, 0, noFlush},
-		{"what is ready is listed when it is due", 7400 * time.Millisecond, 8500 * time.Millisecond, 0, fullFlush},
-		{"what is ready is listed by the next tick", 7420 * time.Millisecond, 7900 * time.Millisecond, 0, fullFlush},
-		{"what is ready is listed once clients have rested", 7420 * time.Millisecond, 7900 * time.Millisecond, 6930 * time.Millisecond, noFlush},
-		{"what is ready is listed after they have", 7440 * time.Millisecond, 7900 * time.Millisecond, 6930 * time.Millisecond, fullFlush},
-		{"it was just now, before the forecast moved", 6200 * time.Millisecond, 7 * time.Second, 6100 * time.Millisecond, noFlush},
+		{"the last flush before completion", 6200 * time.Millisecond, 7 * time.Second, 0, fullFlush},
+		{"the flush before the last", 5300 * time.Millisecond, 7 * time.Second, 0, partialFlush},
+		{"between two flushes", 5800 * time.Millisecond, 7 * time.Second, 0, noFlush},
+		{"shortly before completion", 6900 * time.Millisecond, 7 * time.Second, 0, noFlush},
+		{"release time", 7400 * time.Millisecond, 8500 * time.Millisecond, 0, fullFlush},
+		{"the tick after the release time", 7420 * time.Millisecond, 7900 * time.Millisecond, 0, fullFlush},
+		{"release time, too soon after the last flush", 7420 * time.Millisecond, 7900 * time.Millisecond, 6930 * time.Millisecond, noFlush},
+		{"release time, long enough after the last flush", 7440 * time.Millisecond, 7900 * time.Millisecond, 6930 * time.Millisecond, fullFlush},
+		{"too soon after the last flush, as the forecast changed", 6200 * time.Millisecond, 7 * time.Second, 6100 * time.Millisecond, noFlush},
 	} {
 		p := flushSchedule{lastFlushAt: at(c.last)}
 		if got := p.next(at(c.now), at(c.whole), at(due)); got != c.want {
-			t.Errorf("%s: pulse %d, should be %d", c.name, got, c.want)
+			t.Errorf("%s: flush %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// TestPulseIsRepeatedWhenTheStoreFailed: what the last pulse was to list isn't held until the end
-// because the store refused it once.
-func TestPulseIsRepeatedWhenTheStoreFailed(t *testing.T) {
+// TestFlushIsRetried tests that a flush is retried when the store rejected it.
+func TestFlushIsRetried(t *testing.T) {
 	n, runs := newProgressNode(t, 4, 6500*time.Millisecond)
 	for _, run := range runs[1:] {
 		n.finish(run, task.RunCompleted, 2, 20)
@@ -91,13 +90,13 @@
 	}
 	n.elapse(900 * time.Millisecond)
 	if got := len(n.results(t, "j")); !refused || got != 15 {
-		t.Errorf("%d results are listed after a pulse that was refused (%t), should be 15", got, refused)
+		t.Errorf("%d results listed after a rejected flush (%t), want 15", got, refused)
 	}
 }
 
-// TestHeldBackResultsAreListedInPulses: what is held back for a text that ends in 1.35 s is listed
-// 0.85 s before that, and what comes after then with the last.
-func TestHeldBackResultsAreListedInPulses(t *testing.T) {
+// TestHeldResultsAreFlushed tests that held results are listed at the last scheduled flush, and
+// later ones with the last result.
+func TestHeldResultsAreFlushed(t *testing.T) {
 	n, runs := newProgressNode(t, 4, 6500*time.Millisecond)
 	for _, run := range runs[2:] {
 		n.finish(run, task.RunCompleted, 2, 20)
@@ -111,7 +110,7 @@
 	}{{6900 * time.Millisecond, 0}, {7200 * time.Millisecond, 14}, {7700 * time.Millisecond, 14}} {
 		n.elapse(c.until - n.now.Sub(epoch))
 		if got := len(n.results(t, "j")); got != c.listed {
-			t.Errorf("%d results are listed after %s, should be %d", got, c.until, c.listed)
+			t.Errorf("%d results listed after %s, want %d", got, c.until, c.listed)
 		}
 		if c.listed > 0 && n.jobs.owned["j"].items[0].state == itemRunning {
 			n.finish(runs[0], task.RunCompleted, 2, 140)
@@ -120,17 +119,17 @@
 	n.finish(runs[1], task.RunCompleted, 2, 140)
 	n.elapse(50 * time.Millisecond)
 	if got := len(n.results(t, "j")); got != 16 {
-		t.Errorf("%d results are listed with the last", got)
+		t.Errorf("%d results listed with the last one, want 16", got)
 	}
 }
 
-// TestStepsInGoodTimeArentHeldBack: where the longest texts end well before the results are due,
-// results are listed as they come.
-func TestStepsInGoodTimeArentHeldBack(t *testing.T) {
+// TestEarlyJobsAreNotHeldBack tests that the results of jobs that complete well before the
+// deadline are not held back.
+func TestEarlyJobsAreNotHeldBack(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		made, listed int
-	}{{"whole after 5.6 s", 110, 15}, {"whole after 7.5 s", 72, 0}} {
+	}{{"complete after 5.6 s", 110, 15}, {"complete after 7.5 s", 72, 0}} {
 		n, runs := newProgressNode(t, 4, 4100*time.Millisecond)
 		for _, run := range runs[1:] {
 			n.finish(run, task.RunCompleted, 2, 20)
@@ -138,18 +137,18 @@
 		n.reportProgress(runs[0], c.made)
 		n.elapse(200 * time.Millisecond)
 		if got := len(n.results(t, "j")); got != c.listed {
-			t.Errorf("%s: %d results are listed, should be %d", c.name, got, c.listed)
+			t.Errorf("%s: %d results listed, want %d", c.name, got, c.listed)
 		}
 	}
 }
 
-// TestPulseListsAllThatIsReady: what is ready at the last pulse isn't held until the groups are whole,
-// though it came just now, or is more than one transaction takes.
-func TestPulseListsAllThatIsReady(t *testing.T) {
+// TestFullFlush tests that the last flush lists all finished results, including recent ones and
+// those that need several transactions.
+func TestFullFlush(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		bytes int
-	}{{"just finished", 10}, {"of two transactions", maxTransactionBytes / 10}} {
+	}{{"just finished", 10}, {"more than one transaction", maxTransactionBytes / 10}} {
 		n, runs := newProgressNode(t, 4, 6500*time.Millisecond)
 		for _, run := range runs[:2] {
 			n.reportProgress(run, 113)
@@ -161,7 +160,7 @@
 		}
 		n.elapse(100 * time.Millisecond)
 		if got := n.jobs.heads["j"].Listed; got != 14 {
-			t.Errorf("%s: %d results are listed, should be 14", c.name, got)
+			t.Errorf("%s: %d results listed, want 14", c.name, got)
 		}
 	}
 }
--- a/internal/version/batch/quarantine_test.go
+++ b/internal/version/batch/quarantine_test.go
@@ -12,7 +12,8 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// fleet is a few replicas that come back under new ids. All items go to the first that may be used.
+// replicaSet is a set of replicas that restart under new IDs. All items are placed on the first
+// allowed one.
 type replicaSet struct {
 	endpoints []*endpoint.Endpoint
 	started   int
@@ -32,28 +33,26 @@
 }
 
 func (f *replicaSet) place(wanted Placement) *endpoint.Endpoint {
-	for _, one := range f.endpoints {
-		if one.ID != wanted.Avoid && !wanted.Exclude[one.ID] {
-			return one
+	for _, candidate := range f.endpoints {
+		if candidate.ID != wanted.Avoid && !wanted.Exclude[candidate.ID] {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// end takes a replica away and brings another.
-func (f *replicaSet) end(id string) {
-	for i, one := range f.endpoints {
-		if one.ID == id {
+// replace replaces a replica with a new one.
+func (f *replicaSet) replace(id string) {
+	for i, candidate := range f.endpoints {
+		if candidate.ID == id {
 			f.endpoints = append(f.endpoints[:i:i], f.endpoints[i+1:]...)
 		}
 	}
 	f.add()
 }
 
-// TestBystandersOfAPoisonItemAreNotHeld: an item ends each replica that begins it. In a fleet of three
-// the others of its job follow it from replica to replica, and met three ends as it did: they were
-// held with it, and their job never became whole (one run in six of the whole-request test beside
-// busy processes).
+// TestBystandersOfAPoisonItemAreNotHeld tests that items that share replicas with an item that
+// crashes them are not quarantined as well.
 func TestBystandersOfAPoisonItemAreNotHeld(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.replicas = newReplicaSet(3)
@@ -63,9 +62,9 @@
 	}
 	job.Items[0].Id = "poison"
 	n.accept(job)
-	ends := crashReplicasRunning(n, "poison")
-	if ends != quarantine.CrashLimit {
-		t.Errorf("the poison item ended %d replicas", ends)
+	crashes := crashReplicasRunning(n, "poison")
+	if crashes != quarantine.CrashLimit {
+		t.Errorf("the poison item crashed %d replicas", crashes)
 	}
 	for range 8 {
 		for _, run := range n.takeRuns() {
@@ -78,13 +77,12 @@
 		done = append(done, result.Id)
 	}
 	if len(done) != 4 || strings.Contains(strings.Join(done, " "), "poison") {
-		t.Errorf("%v are done, should be all but the poison item", done)
+		t.Errorf("%v are done, want all but the poison item", done)
 	}
 }
 
-// TestHeldItemsAreTriedAgain: the replicas' software is mended, and the next item that asks for the same
-// runs once the quarantine has a trial due.
-func TestHeldItemsAreTriedAgain(t *testing.T) {
+// TestQuarantinedItemIsRetried tests that a quarantined item runs once a trial is due.
+func TestQuarantinedItemIsRetried(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.replicas = newReplicaSet(3)
 	n.route.MaxQueue = time.Hour
@@ -94,12 +92,12 @@
 	crashReplicasRunning(n, "poison")
 	n.elapse(time.Minute)
 	if runs := n.takeRuns(); len(runs) != 0 {
-		t.Errorf("%d runs of a held item", len(runs))
+		t.Errorf("%d runs of a quarantined item", len(runs))
 	}
 	n.elapse(time.Minute)
 	runs := n.takeRuns()
 	if len(runs) != 1 {
-		t.Fatalf("%d runs once its trial is due", len(runs))
+		t.Fatalf("%d runs once a trial is due, want 1", len(runs))
 	}
 	n.finish(runs[0], task.RunCompleted, 2, 4)
 	n.elapse(500 * time.Millisecond)
@@ -108,10 +106,10 @@
 	}
 }
 
-// endReplicasUnder ends the replica of each run of an item, with all runs there, until the item runs no
-// more. It returns how many replicas ended.
+// crashReplicasRunning crashes the replica of each run of an item, together with all other runs
+// there, until the item no longer runs. It returns the number of crashed replicas.
 func crashReplicasRunning(n *testNode, poison string) int {
-	ends := 0
+	crashes := 0
 	var active []task.Run
 	for range 20 {
 		n.elapse(300 * time.Millisecond)
@@ -125,19 +123,19 @@
 		if where == "" {
 			break
 		}
-		ends++
-		n.replicas.end(where)
-		var left []task.Run
+		crashes++
+		n.replicas.replace(where)
+		var remaining []task.Run
 		for _, run := range active {
 			if run.Replica != where {
-				left = append(left, run)
+				remaining = append(remaining, run)
 				continue
 			}
 			run.Done(n.now, task.RunResult{Outcome: task.RunInterrupted, Crashed: true})
 			n.runTasks()
 		}
-		active = left
+		active = remaining
 	}
 	n.runs = append(active, n.runs...)
-	return ends
+	return crashes
 }
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -11,8 +11,8 @@
 	"github.com/doorstep/doorstep/internal/standin/model"
 )
 
-// homed returns the jobs of a node in a region; homes are those of all routes and tenants, as that
-// node knows them.
+// newRegionalNode returns a node in a region; homes are the home regions of all routes and
+// tenants in its configuration.
 func newRegionalNode(self, region string, store *model.Records, homes ...string) *testNode {
 	n := newTestNode(self, store)
 	n.jobs.options.Topology = port.Topology{Zone: region, Region: region, Regions: map[string]string{"north": "north", "south": "south", "west": "west"}}
@@ -21,38 +21,38 @@
 	return n
 }
 
-// setHomes has the node go by other homes.
+// setHomeRegions changes the home regions in the node's configuration.
 func (n *testNode) setHomeRegions(homes ...string) {
 	n.jobs.options.Homes.Of = func(*port.Route, string) port.Homes { return port.NewHomes(homes) }
 }
 
-// TestOwnersLieInHomes is the table of the design note: who may own a job that was accepted in the
-// west with homes in the north, once its owner is silent or has handed it over.
+// TestOwnersLieInHomes tests which nodes may own a job that was accepted in the west, once its
+// owner is unresponsive or has handed it over.
 func TestOwnersLieInHomes(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// before and after are the homes at the acceptance and as of when another node looks.
+		// before and after are the home regions at acceptance and at the takeover.
 		before, after []string
 		region        string
 		takes         bool
 	}{
 		{"no homes", nil, nil, "south", true},
-		{"a home", []string{"north"}, []string{"north"}, "north", true},
-		{"the region of acceptance", []string{"north"}, []string{"north"}, "west", true},
-		{"neither", []string{"north"}, []string{"north"}, "south", false},
-		{"a node whose region is not known", []string{"north"}, []string{"north"}, "", false},
-		{"homes that narrow: a former home", []string{"north", "south"}, []string{"north"}, "south", false},
-		{"homes that narrow: one that is left", []string{"north", "south"}, []string{"north"}, "north", true},
-		{"homes that move: the new home, while the head tells the old", []string{"north"}, []string{"south"}, "south", false},
-		{"homes that move: the old home", []string{"north"}, []string{"south"}, "north", false},
-		{"homes that move: the region of acceptance", []string{"north"}, []string{"south"}, "west", true},
-		{"homes that come", nil, []string{"north"}, "south", false},
-		{"homes that come: one of them", nil, []string{"north"}, "north", true},
-		{"homes that come: the region of acceptance", nil, []string{"north"}, "west", true},
-		{"homes that go: an old home", []string{"north"}, nil, "north", true},
-		{"homes that go: another, while the head tells the old", []string{"north"}, nil, "south", false},
-		{"homes that no node lies in: the region of acceptance", []string{"north"}, []string{"nowhere"}, "west", true},
-		{"homes that no node lies in: a former home", []string{"north"}, []string{"nowhere"}, "north", false},
+		{"a home region", []string{"north"}, []string{"north"}, "north", true},
+		{"the accepting region", []string{"north"}, []string{"north"}, "west", true},
+		{"another region", []string{"north"}, []string{"north"}, "south", false},
+		{"a node with an unknown region", []string{"north"}, []string{"north"}, "", false},
+		{"home region removed: the removed one", []string{"north", "south"}, []string{"north"}, "south", false},
+		{"home region removed: the remaining one", []string{"north", "south"}, []string{"north"}, "north", true},
+		{"home region replaced: the new one, with the old one in the head record", []string{"north"}, []string{"south"}, "south", false},
+		{"home region replaced: the old one", []string{"north"}, []string{"south"}, "north", false},
+		{"home region replaced: the accepting region", []string{"north"}, []string{"south"}, "west", true},
+		{"home region added: another region", nil, []string{"north"}, "south", false},
+		{"home region added: the home region", nil, []string{"north"}, "north", true},
+		{"home region added: the accepting region", nil, []string{"north"}, "west", true},
+		{"home regions removed: a former one", []string{"north"}, nil, "north", true},
+		{"home regions removed: another region, with the old one in the head record", []string{"north"}, nil, "south", false},
+		{"home region without nodes: the accepting region", []string{"north"}, []string{"nowhere"}, "west", true},
+		{"home region without nodes: a former one", []string{"north"}, []string{"nowhere"}, "north", false},
 	} {
 		store := newStore()
 		owner, other := newRegionalNode("a", "west", store, c.before...), newRegionalNode("b", c.region, store, c.after...)
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestOwnerLeavesWithItsHomes: an owner whose region is no home any more sends nothing, and hands the
-// job over with regions by which the next owner is told; in the region of acceptance it goes on.
-func TestOwnerLeavesWithItsHomes(t *testing.T) {
+// TestOwnerOutsideHomesReleases tests that an owner whose region is no longer a home region
+// stops all runs, and hands the job over with updated regions.
+func TestOwnerOutsideHomesReleases(t *testing.T) {
 	store := newStore()
 	acceptor, owner, next := newRegionalNode("a", "west", store, "north"), newRegionalNode("b", "north", store, "north"), newRegionalNode("c", "south", store, "north")
 	acceptor.accept(newJob("j", 2))
@@ -78,51 +78,53 @@
 	syncHeads(owner)
 	owner.elapse(takeoverTimeout + 2*takeoverSpread)
 	if owner.jobs.Owned() != 1 {
-		t.Fatal("a home's node does not take the job")
+		t.Fatal("a node in a home region did not take the job over")
 	}
 	runs := owner.takeRuns()
 	owner.setHomeRegions("south")
 	owner.elapse(25 * time.Millisecond)
 	for _, run := range runs {
 		if !owner.stopped[run.ID] {
-			t.Errorf("run %d goes on", run.ID)
+			t.Errorf("run %d was not stopped", run.ID)
 		}
 		owner.finish(run, task.RunInterrupted, 2, 3)
 	}
 	owner.elapse(200 * time.Millisecond)
 	if started := owner.takeRuns(); len(started) > 0 || owner.jobs.Owned() != 0 {
-		t.Errorf("%d runs began, %d jobs owned", len(started), owner.jobs.Owned())
+		t.Errorf("%d runs started, %d jobs owned", len(started), owner.jobs.Owned())
 	}
 	next.setHomeRegions("south")
 	next.now = owner.now
 	syncHeads(next)
 	head := next.jobs.heads["j"]
 	if head.Owner != "" || !slices.Equal(head.Regions, []string{"south", "west"}) {
-		t.Errorf("the head names owner %q, regions %v", head.Owner, head.Regions)
+		t.Errorf("head record has owner %q, regions %v", head.Owner, head.Regions)
 	}
 	next.elapse(takeoverSpread)
 	if next.jobs.Owned() != 1 {
-		t.Error("the new home's node does not take the job")
+		t.Error("a node in the new home region did not take the job over")
 	}
 }
 
-// TestAcceptorKeepsItsJob: its client is connected to it, wherever the homes are.
-func TestAcceptorKeepsItsJob(t *testing.T) {
+// TestAcceptingRegionKeepsJob tests that the accepting node, which the client is connected to,
+// keeps its job regardless of the home regions.
+func TestAcceptingRegionKeepsJob(t *testing.T) {
 	owner := newRegionalNode("a", "west", newStore(), "north")
 	owner.accept(newJob("j", 2))
 	owner.elapse(100 * time.Millisecond)
 	owner.setHomeRegions("south")
 	owner.elapse(time.Second)
 	if owner.jobs.Owned() != 1 || len(owner.takeRuns()) != 2 {
-		t.Error("the node that accepted the job does not run it")
+		t.Error("the accepting node does not run the job")
 	}
 	if head := owner.jobs.heads["j"]; !slices.Equal(head.Regions, []string{"south", "west"}) || head.AcceptedIn != "west" {
-		t.Errorf("the head names regions %v, accepted in %q", head.Regions, head.AcceptedIn)
+		t.Errorf("head record has regions %v, accepted in %q", head.Regions, head.AcceptedIn)
 	}
 }
 
-// TestJobsWithoutAReplicaAreNotTaken: nothing of the job reaches the store.
-func TestJobsWithoutAReplicaAreNotTaken(t *testing.T) {
+// TestJobsWithoutReplicaAreRejected tests that a job without a replica in its home regions is
+// not written to the store.
+func TestJobsWithoutReplicaAreRejected(t *testing.T) {
 	store := newStore()
 	n := newRegionalNode("a", "west", store, "north")
 	n.jobs.options.Homes.Served = func(*port.Route, string) bool { return false }
@@ -135,31 +137,32 @@
 	}
 }
 
-// TestAssignWithinRegions gives a job to a node only if that surely lies in the job's regions.
+// TestAssignWithinRegions tests that a job is only assigned to a node that is known to be in
+// the job's regions.
 func TestAssignWithinRegions(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		theirs, wanted []string
 		want           string
 	}{
-		{"neither has homes", nil, nil, "b"},
-		{"the other job's owner may lie anywhere", nil, []string{"north"}, "a"},
-		{"the same", []string{"north", "west"}, []string{"west", "north"}, "b"},
-		{"the other job's are fewer", []string{"north"}, []string{"north", "west"}, "b"},
-		{"the other job's are more", []string{"north", "south"}, []string{"north", "west"}, "a"},
-		{"only the other job has some", []string{"south"}, nil, "b"},
+		{"neither job has home regions", nil, nil, "b"},
+		{"only the new job has home regions", nil, []string{"north"}, "a"},
+		{"the same regions", []string{"north", "west"}, []string{"west", "north"}, "b"},
+		{"the other job has fewer", []string{"north"}, []string{"north", "west"}, "b"},
+		{"the other job has more", []string{"north", "south"}, []string{"north", "west"}, "a"},
+		{"only the other job has home regions", []string{"south"}, nil, "b"},
 	} {
 		n := newTestNode("a", newStore())
 		n.jobs.setHead(n.now, "p", &doorstepv1.BatchJobHead{Model: "m", Owner: "b", OwnerIncarnation: 7, AcceptedAtMs: 1, Total: 5, Regions: c.theirs}, 1)
 		if got := n.jobs.assignOwner(n.now, "m", c.wanted); got.name != c.want {
-			t.Errorf("%s: given to %s, should be %s", c.name, got.name, c.want)
+			t.Errorf("%s: assigned to %s, want %s", c.name, got.name, c.want)
 		}
 	}
 }
 
-// TestNothingIsTakenBeforeTheHomesAreKnown: a node that comes back knows the heads before the
-// configuration. Jobs that were handed over, and those of its former life, are left until it knows that.
-func TestNothingIsTakenBeforeTheHomesAreKnown(t *testing.T) {
+// TestNoTakeoverBeforeConfiguration tests that a restarted node takes no job, including its
+// former ones, before it has loaded the configuration.
+func TestNoTakeoverBeforeConfiguration(t *testing.T) {
 	for _, handedOver := range []bool{true, false} {
 		store := newStore()
 		former := newRegionalNode("b", "west", store)
@@ -180,32 +183,32 @@
 		syncHeads(n)
 		n.elapse(time.Second)
 		if n.jobs.Owned() != 0 {
-			t.Errorf("handed over %t: taken before the configuration is known", handedOver)
+			t.Errorf("handed over %t: taken before the configuration was loaded", handedOver)
 		}
 		known = true
 		n.elapse(time.Second)
 		if n.jobs.Owned() != 1 {
-			t.Errorf("handed over %t: not taken once the configuration is known", handedOver)
+			t.Errorf("handed over %t: not taken after the configuration was loaded", handedOver)
 		}
 	}
 }
 
-// TestOwnersThatLeaveAreGivenNothing: an owner tells the regions that its job must stay in before it
-// has handed it over; where it stands itself counts.
-func TestOwnersThatLeaveAreGivenNothing(t *testing.T) {
+// TestLeavingOwnerIsNotAssigned tests that the place of an owner is checked in addition to the
+// regions in its head records.
+func TestLeavingOwnerIsNotAssigned(t *testing.T) {
 	for zone, want := range map[string]string{"south": "a", "north": "b"} {
 		n := newRegionalNode("a", "west", newStore())
 		n.jobs.setHead(n.now, "p", &doorstepv1.BatchJobHead{
 			Model: "m", Owner: "b", OwnerIncarnation: 7, AcceptedAtMs: 1, Total: 5, Regions: []string{"north", "west"}, OwnerPlace: &doorstepv1.OwnerPlace{Zone: zone},
 		}, 1)
 		if got := n.jobs.assignOwner(n.now, "m", []string{"north", "west"}); got.name != want {
-			t.Errorf("beside an owner in the %s: given to %s, should be %s", zone, got.name, want)
+			t.Errorf("with an owner in the %s: assigned to %s, want %s", zone, got.name, want)
 		}
 	}
 }
 
-// TestOneRegionTellsNothing: without homes and other regions a head holds what it held before.
-func TestOneRegionTellsNothing(t *testing.T) {
+// TestSingleRegionHead tests that head records have no regions in a single-region deployment.
+func TestSingleRegionHead(t *testing.T) {
 	n := newRegionalNode("a", "north", newStore())
 	n.jobs.options.Topology.Regions = map[string]string{"north": "north"}
 	n.accept(newJob("j", 2))
@@ -215,9 +218,8 @@
 	}
 }
 
-// TestContentIsNotReadOutsideOfTheHomes: homes change while a node that has just taken a job reads its
-// content. Reads that got no answer must not be repeated from a region that is no home any more, and the
-// job goes to a node that may have it. Seed 700169 of the simulator showed it.
+// TestContentIsNotReadOutsideOfTheHomes tests that failed reads of a job's content are not
+// retried once the home regions exclude the node, and that the job is handed over.
 func TestContentIsNotReadOutsideOfTheHomes(t *testing.T) {
 	store := newStore()
 	acceptor, owner, next := newRegionalNode("a", "west", store, "north"), newRegionalNode("b", "north", store, "north"), newRegionalNode("c", "south", store, "south")
@@ -236,21 +238,21 @@
 	}
 	owner.elapse(takeoverTimeout + 2*takeoverSpread)
 	if reads != 1 {
-		t.Errorf("%d reads of the content, the first was made in a home, none after it", reads)
+		t.Errorf("%d reads of the content, want 1", reads)
 	}
 	next.now = owner.now
 	syncHeads(next)
 	if head := next.jobs.heads["j"]; head.Owner != "" || !slices.Equal(head.Regions, []string{"south", "west"}) {
-		t.Errorf("the head names owner %q, regions %v", head.Owner, head.Regions)
+		t.Errorf("head record has owner %q, regions %v", head.Owner, head.Regions)
 	}
 	next.elapse(takeoverSpread)
 	if next.jobs.Owned() != 1 {
-		t.Error("the new home's node does not take the job")
+		t.Error("a node in the new home region did not take the job over")
 	}
 }
 
-// TestTextsAreNotReadOutsideOfTheHomes: a job's kept texts take several reads. Those that are left when the
-// homes change are not made.
+// TestTextsAreNotReadOutsideOfTheHomes tests that the remaining reads of checkpoints are
+// skipped once the home regions exclude the node.
 func TestTextsAreNotReadOutsideOfTheHomes(t *testing.T) {
 	store := newStore()
 	acceptor, owner := newRegionalNode("a", "west", store, "north"), newRegionalNode("b", "north", store, "north")
@@ -272,6 +274,6 @@
 	}
 	owner.elapse(takeoverTimeout + 2*takeoverSpread)
 	if reads != 1 {
-		t.Errorf("%d reads of texts, the first was made in a home, none after it", reads)
+		t.Errorf("%d reads of checkpoints, want 1", reads)
 	}
 }
--- a/internal/version/batch/scoring_test.go
+++ b/internal/version/batch/scoring_test.go
@@ -13,7 +13,7 @@
 	"github.com/doorstep/doorstep/internal/request/relay"
 )
 
-// scoringPath is that of the scoring calls of newScoredJob.
+// scoringPath is the path of the scoring calls of newScoredJob.
 const scoringPath = "/score"
 
 func newScoredJob(id string, items int) *doorstepv1.BatchJob {
@@ -45,14 +45,14 @@
 	scoreGiven   = task.ScoringResult{Outcome: relay.Answered, Status: http.StatusOK, Score: "signed"}
 )
 
-// scoredBench returns a bench with a job of one item whose text is whole.
+// newScoringNode returns a node with a job of one item whose text is complete.
 func newScoringNode(t *testing.T) *testNode {
 	t.Helper()
 	n := newTestNode("a", newStore())
 	n.accept(newScoredJob("j", 1))
 	n.elapse(200 * time.Millisecond)
 	if calls := n.takeCalls(); len(calls) != 0 {
-		t.Fatalf("%d scoring calls before the text is whole", len(calls))
+		t.Fatalf("%d scoring calls before the text is complete", len(calls))
 	}
 	n.finish(n.takeRuns()[0], task.RunCompleted, 2, 10)
 	return n
@@ -62,16 +62,16 @@
 	for _, c := range []struct {
 		name    string
 		answers []task.ScoringResult
-		// completed says that the item gets its score, else it is given up.
+		// completed is set if the item is scored, unset if it is terminated.
 		completed bool
 	}{
 		{"scored at once", []task.ScoringResult{scoreGiven}, true},
 		{"lost, then scored", []task.ScoringResult{scoreLost, scoreLost, scoreLost, scoreGiven}, true},
 		{"refused, then scored", []task.ScoringResult{scoreRefused, scoreRefused, scoreRefused, scoreRefused, scoreGiven}, true},
-		{"out of time at the replica is no failure that counts", []task.ScoringResult{scoreLate, scoreLate, scoreLate, scoreLate, scoreGiven}, true},
-		{"an answer that is no success has no score", []task.ScoringResult{scoreUnknown, scoreUnknown, scoreUnknown, scoreUnknown, scoreGiven}, true},
-		{"failed less often than either route allows", []task.ScoringResult{scoreFailed, scoreFailed, scoreGiven}, true},
-		{"failed at every attempt", []task.ScoringResult{scoreFailed, scoreLost, scoreFailed, scoreRefused, scoreFailed}, false},
+		{"a timeout at the replica does not count as a failure", []task.ScoringResult{scoreLate, scoreLate, scoreLate, scoreLate, scoreGiven}, true},
+		{"an unsuccessful response has no score", []task.ScoringResult{scoreUnknown, scoreUnknown, scoreUnknown, scoreUnknown, scoreGiven}, true},
+		{"fewer failures than the routes allow", []task.ScoringResult{scoreFailed, scoreFailed, scoreGiven}, true},
+		{"failed in every attempt", []task.ScoringResult{scoreFailed, scoreLost, scoreFailed, scoreRefused, scoreFailed}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newScoringNode(t)
@@ -81,8 +81,8 @@
 				if len(calls) != 1 {
 					t.Fatalf("%d calls for answer %d", len(calls), i)
 				}
-				if one := calls[0]; one.Request != "score-j-0" || one.Replica != "q" || one.Target != scoringPath || one.Limit <= 0 || one.Limit > n.scoringRoute.Timeout {
-					t.Fatalf("%+v", one)
+				if call := calls[0]; call.Request != "score-j-0" || call.Replica != "q" || call.Target != scoringPath || call.Limit <= 0 || call.Limit > n.scoringRoute.Timeout {
+					t.Fatalf("%+v", call)
 				}
 				if got := n.results(t, "j"); len(got) != 0 {
 					t.Fatalf("listed before answer %d: %v", i, got)
@@ -95,13 +95,13 @@
 				t.Errorf("%v", got)
 			}
 			if len(n.takeCalls()) != 0 || n.scorer.InFlight != 0 {
-				t.Errorf("calls go on, %d in flight", n.scorer.InFlight)
+				t.Errorf("further calls, or %d in flight", n.scorer.InFlight)
 			}
 		})
 	}
 }
 
-func TestScoringCallsThatTellTheText(t *testing.T) {
+func TestScoringCallsWithText(t *testing.T) {
 	n := newTestNode("a", newStore())
 	job := newScoredJob("j", 1)
 	job.Items[0].Scoring.SendText = true
@@ -115,27 +115,27 @@
 	}
 }
 
-func TestTextsThatAreThrownAwayAreNotScored(t *testing.T) {
+func TestDiscardedTextsAreNotScored(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.accept(newScoredJob("j", 1))
 	n.elapse(200 * time.Millisecond)
 	n.finish(n.takeRuns()[0], task.RunCompleted, 1, 10)
 	n.elapse(200 * time.Millisecond)
 	if calls := n.takeCalls(); len(calls) != 0 {
-		t.Errorf("%d calls for a text by weights that are too old", len(calls))
+		t.Errorf("%d calls for a text of an outdated version", len(calls))
 	}
 }
 
-// TestScoringGoesElsewhereAfterAFailure: a replica that fails part of its requests answers
-// quickly, which makes it look fast; it may not use up an item's attempts alone.
+// TestScoringGoesElsewhereAfterAFailure tests that a replica that fails fast, and so appears to
+// be the fastest, does not use up an item's attempts.
 func TestScoringGoesElsewhereAfterAFailure(t *testing.T) {
 	n := newScoringNode(t)
 	other := *n.scorer
 	other.ID = "q2"
 	n.jobs.options.PlaceScoring = func(_ time.Time, _ *port.Route, _ string, exclude map[string]bool) *endpoint.Endpoint {
-		for _, one := range []*endpoint.Endpoint{n.scorer, &other} {
-			if !exclude[one.ID] {
-				return one
+		for _, candidate := range []*endpoint.Endpoint{n.scorer, &other} {
+			if !exclude[candidate.ID] {
+				return candidate
 			}
 		}
 		return nil
@@ -149,18 +149,18 @@
 		}
 	}
 	if want := []string{"q", "q2", "q"}; !slices.Equal(replicas, want) {
-		t.Errorf("called at %v, should be %v: elsewhere first, then wherever there is room", replicas, want)
+		t.Errorf("called at %v, want %v", replicas, want)
 	}
 }
 
-// TestScoringWaits: without a route or room the call waits, and goes once there is one.
+// TestScoringWaits tests that scoring waits for a route and for capacity.
 func TestScoringWaits(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		take, put func(n *testNode)
 	}{
 		{"no route", func(n *testNode) { n.scoringRoute = nil }, func(n *testNode) { n.scoringRoute = n.route }},
-		{"no room", func(n *testNode) { n.scorer = nil }, func(n *testNode) { n.scorer = n.replica }},
+		{"no capacity", func(n *testNode) { n.scorer = nil }, func(n *testNode) { n.scorer = n.replica }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newTestNode("a", newStore())
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestUnscoredItemsAreGivenUpByAge(t *testing.T) {
+func TestUnscoredItemsExpire(t *testing.T) {
 	n := newScoringNode(t)
 	n.elapse(500 * time.Millisecond)
 	calls := n.takeCalls()
@@ -204,25 +204,26 @@
 	n.answerCall(calls[0], scoreLost)
 	n.elapse(time.Second)
 	if calls := n.takeCalls(); len(calls) != 0 {
-		t.Errorf("%d calls after the end", len(calls))
+		t.Errorf("%d calls after the job ended", len(calls))
 	}
 }
 
-// TestWholeTextsOutliveTheirOwner: the next owner makes the scoring call, not the text.
-func TestWholeTextsOutliveTheirOwner(t *testing.T) {
+// TestCompleteTextsSurviveOwner tests that the next owner scores a complete text without
+// generating it again.
+func TestCompleteTextsSurviveOwner(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// leave ends the first owner's work while its call is under way.
+		// leave ends the first owner's work while its call is active.
 		leave func(n *testNode, call task.ScoringCall)
 	}{
-		{"dead", func(n *testNode, _ task.ScoringCall) { n.elapse(checkpointInterval + 100*time.Millisecond) }},
-		{"dead after a lost answer", func(n *testNode, call task.ScoringCall) { n.answerCall(call, scoreLost) }},
+		{"failed", func(n *testNode, _ task.ScoringCall) { n.elapse(checkpointInterval + 100*time.Millisecond) }},
+		{"failed after a lost answer", func(n *testNode, call task.ScoringCall) { n.answerCall(call, scoreLost) }},
 		{"stopped", func(n *testNode, call task.ScoringCall) {
 			n.jobs.Stop(n.now)
 			n.runTasks()
 			n.answerCall(call, scoreLost)
 		}},
-		{"stopped just as the answer comes", func(n *testNode, call task.ScoringCall) {
+		{"stopped when the answer arrives", func(n *testNode, call task.ScoringCall) {
 			n.jobs.Stop(n.now)
 			n.runTasks()
 			n.answerCall(call, scoreGiven)
@@ -244,7 +245,7 @@
 				}
 			}
 			if runs := other.takeRuns(); len(runs) != 0 || len(calls) != 1 {
-				t.Fatalf("%d runs, %d calls: the text is whole and to be scored", len(runs), len(calls))
+				t.Fatalf("%d runs, %d calls, want only one scoring call", len(runs), len(calls))
 			}
 			other.answerCall(calls[0], task.ScoringResult{Outcome: relay.Answered, Status: http.StatusOK, Score: "second"})
 			other.elapse(200 * time.Millisecond)
@@ -255,7 +256,7 @@
 	}
 }
 
-func TestScoringFailuresOutliveTheirOwner(t *testing.T) {
+func TestScoringFailuresSurviveOwner(t *testing.T) {
 	owner := newScoringNode(t)
 	owner.elapse(100 * time.Millisecond)
 	owner.answerCall(owner.takeCalls()[0], scoreFailed)
@@ -276,8 +277,9 @@
 	}
 }
 
-// TestFailuresAreOnRecordBeforeTheNextCall: the store refuses, so no call follows.
-func TestFailuresAreOnRecordBeforeTheNextCall(t *testing.T) {
+// TestFailuresAreRecordedBeforeNextCall tests that no call is made while a failure can't be
+// recorded.
+func TestFailuresAreRecordedBeforeNextCall(t *testing.T) {
 	n := newScoringNode(t)
 	n.elapse(100 * time.Millisecond)
 	n.commitHook = func(task.Commit) (port.RecordResult, bool) {
@@ -286,11 +288,12 @@
 	n.answerCall(n.takeCalls()[0], scoreFailed)
 	n.elapse(time.Second)
 	if calls := n.takeCalls(); len(calls) != 0 {
-		t.Errorf("%d calls while the failure is not on record", len(calls))
+		t.Errorf("%d calls before the failure was recorded", len(calls))
 	}
 }
 
-// TestRunsThatEndAsTheyAreStopped: the job is handed over although no run was cut.
+// TestRunsThatEndAsTheyAreStopped tests that a job is handed over if its runs complete while
+// they are being stopped.
 func TestRunsThatEndAsTheyAreStopped(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.accept(newScoredJob("j", 2))
@@ -306,9 +309,7 @@
 	}
 }
 
-// Seed 144 of the simulator: of ten scoring calls of one item eight answers were lost. The
-// service may have failed each of these calls, so they count towards what an item that fails on
-// every run may be sent: three times its attempts.
+// Lost scoring calls count towards the limit for a failing item, as they may have failed.
 func TestLostScoresAreBounded(t *testing.T) {
 	n := newScoringNode(t)
 	calls := 0
@@ -320,6 +321,6 @@
 		}
 	}
 	if most := 3 * n.route.MaxAttempts; calls > most {
-		t.Errorf("%d calls whose answers were lost, should be %d at most", calls, most)
+		t.Errorf("%d lost calls, want at most %d", calls, most)
 	}
 }
--- a/internal/version/batch/standing_test.go
+++ b/internal/version/batch/standing_test.go
@@ -8,25 +8,24 @@
 	doorstepv1 "github.com/doorstep/doorstep/api/doorstep/v1"
 )
 
-// standsAs lets a node be as fit as it is said to be.
-func (n *testNode) setReadiness(standing Standing) {
+// setStanding sets the node's fitness.
+func (n *testNode) setStanding(standing Standing) {
 	n.jobs.options.Standing = func(time.Time) Standing { return standing }
 }
 
-// spread is the time over which a node's turn at a job is drawn.
+// spread returns the spread part of a node's takeover delay.
 func (j *Jobs) spread(id string) time.Duration {
 	spread, _ := j.takeoverDelay(epoch, id, &head{BatchJobHead: &doorstepv1.BatchJobHead{}})
 	return spread
 }
 
-// TestUnfitNodesLeaveTheJobsThatTheyAccept: a job that a slow machine accepts, or one that would have to read
-// ten thousand replicas first, goes to a fitter node, within the third of a second in which nodes hear of it
-// and their turns. If there is none, the unfit ones run it.
-func TestUnfitNodesLeaveTheJobsThatTheyAccept(t *testing.T) {
+// TestUnfitNodesDoNotKeepJobs tests that a job accepted by an unfit node is taken over by a
+// fitter one, or run by an unfit one if there is no other.
+func TestUnfitNodesDoNotKeepJobs(t *testing.T) {
 	for _, c := range []struct {
 		accepts Standing
 		others  []Standing
-		// runs is the number of the node that runs the job in the end, the accepting one being 0.
+		// runs is the number of the node that runs the job; the accepting node is 0.
 		runs   int
 		within time.Duration
 	}{
@@ -40,40 +39,41 @@
 	} {
 		store := newStore()
 		nodes := []*testNode{newTestNode("node-0", store)}
-		nodes[0].setReadiness(c.accepts)
+		nodes[0].setStanding(c.accepts)
 		for i, standing := range c.others {
 			other := newTestNode(fmt.Sprintf("node-%d", i+1), store)
-			other.setReadiness(standing)
+			other.setStanding(standing)
 			nodes = append(nodes, other)
 		}
 		nodes[0].accept(newJob("j", 2))
 		began := nodes[0].now
 		for nodes[0].now.Sub(began) < c.within && nodes[c.runs].jobs.Owned() == 0 {
-			for _, one := range nodes {
-				syncHeads(one)
-				one.elapse(25 * time.Millisecond)
+			for _, node := range nodes {
+				syncHeads(node)
+				node.elapse(25 * time.Millisecond)
 			}
 		}
-		for i, one := range nodes {
-			if owns := one.jobs.Owned() == 1; owns != (i == c.runs) {
-				t.Errorf("accepted by %d, others %v: node %d owns %d jobs after %s", c.accepts, c.others, i, one.jobs.Owned(), nodes[0].now.Sub(began))
+		for i, node := range nodes {
+			if isOwner := node.jobs.Owned() == 1; isOwner != (i == c.runs) {
+				t.Errorf("accepted by %d, others %v: node %d owns %d jobs after %s", c.accepts, c.others, i, node.jobs.Owned(), nodes[0].now.Sub(began))
 			}
 		}
 	}
 }
 
-// TestTheOwnerOfTheLastStepComesFirst: it knows the replicas and what their paces are.
-func TestTheOwnerOfTheLastStepComesFirst(t *testing.T) {
-	last := newTestNode("b", newStore())
-	last.setReadiness(Ready)
-	last.jobs.setHead(last.now, "before", &doorstepv1.BatchJobHead{Model: "m", Owner: "b", Ended: true, AcceptedAtMs: 1}, 1)
+// TestPreviousOwnerGoesFirst tests that the owner of the model's previous job, which knows the
+// replicas and their pace, takes over without a delay.
+func TestPreviousOwnerGoesFirst(t *testing.T) {
+	previous := newTestNode("b", newStore())
+	previous.setStanding(Ready)
+	previous.jobs.setHead(previous.now, "before", &doorstepv1.BatchJobHead{Model: "m", Owner: "b", Ended: true, AcceptedAtMs: 1}, 1)
 	next := &head{BatchJobHead: &doorstepv1.BatchJobHead{Model: "m", AcceptedAtMs: 2}, revision: 2}
-	last.jobs.heads["next"] = next
-	if _, behind := last.jobs.takeoverDelay(last.now, "next", next); behind != 0 {
-		t.Errorf("the owner of the model's last step comes %s behind", behind)
+	previous.jobs.heads["next"] = next
+	if _, delay := previous.jobs.takeoverDelay(previous.now, "next", next); delay != 0 {
+		t.Errorf("delay of the model's previous owner is %s", delay)
 	}
 	next.Model = "other"
-	if _, behind := last.jobs.takeoverDelay(last.now, "next", next); behind != readyDelay {
-		t.Errorf("the owner of another model's last step comes %s behind", behind)
+	if _, delay := previous.jobs.takeoverDelay(previous.now, "next", next); delay != readyDelay {
+		t.Errorf("delay of another model's previous owner is %s", delay)
 	}
 }
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -15,7 +15,7 @@
 	"github.com/doorstep/doorstep/internal/standin/model"
 )
 
-// bench is one node's jobs over a store, with every call in the test's hands.
+// testNode is the batch jobs of one node with a simulated store, clock and replicas.
 type testNode struct {
 	now     time.Time
 	store   *model.Records
@@ -23,24 +23,24 @@
 	jobs    *Jobs
 	replica *endpoint.Endpoint
 	route   *port.Route
-	// scoringRoute is that of scoring calls, which go to scorer.
+	// scoringRoute is the route of scoring calls, which are placed on scorer.
 	scoringRoute *port.Route
 	scorer       *endpoint.Endpoint
 	clockKnown   bool
-	// mostEvents is the most that any text may have, 0 if that is not told.
+	// mostEvents is the maximum number of events of any text, or 0 if unknown.
 	mostEvents int
-	// unheard is for how long the watch has not heard.
+	// watchLag is how far the watch is behind.
 	watchLag time.Duration
 	latency  time.Duration
 	runs     []task.Run
 	calls    []task.ScoringCall
 	stopped  map[uint64]bool
-	// answer decides over a commit's answer; nil lets all through.
+	// commitHook may replace the result of a commit; nil applies all commits.
 	commitHook func(commit task.Commit) (port.RecordResult, bool)
-	// read decides over a read's answer; nil lets all through.
+	// rangeHook may replace the result of a read; nil allows all reads.
 	rangeHook func(query port.RecordRange) (port.RecordResult, bool)
 	delayed   []task.Later
-	// fleet, unless nil, takes the place of one.
+	// replicas replaces replica unless nil.
 	replicas *replicaSet
 }
 
@@ -89,15 +89,15 @@
 
 func newStore() *model.Records { return model.NewRecords(epoch, model.RecordsOptions{}) }
 
-// settle carries tasks out until none is left.
+// runTasks runs queued tasks until none are left.
 func (n *testNode) runTasks() {
 	for {
 		tasks := n.queue.Take()
 		if len(tasks) == 0 {
 			return
 		}
-		for _, one := range tasks {
-			switch t := one.(type) {
+		for _, queued := range tasks {
+			switch t := queued.(type) {
 			case task.Commit:
 				n.commit(t)
 			case task.Range:
@@ -134,13 +134,13 @@
 	t.Done(n.now, n.store.Commit(n.now, t.Transaction))
 }
 
-// pass lets time pass.
+// elapse advances the time, with a tick every 25 ms.
 func (n *testNode) elapse(length time.Duration) {
 	for end := n.now.Add(length); n.now.Before(end); n.now = n.now.Add(25 * time.Millisecond) {
 		due := n.delayed
 		n.delayed = nil
-		for _, one := range due {
-			one.Do(n.now)
+		for _, pending := range due {
+			pending.Do(n.now)
 		}
 		n.jobs.Tick(n.now)
 		n.runTasks()
@@ -159,7 +159,7 @@
 	return outcome, answered
 }
 
-// finish ends a run with events of a version.
+// finish ends a run with a number of events of a version.
 func (n *testNode) finish(run task.Run, outcome task.RunOutcome, version int64, count int) {
 	result := task.RunResult{Outcome: outcome}
 	for i := range count {
@@ -181,7 +181,7 @@
 	var got []*doorstepv1.BatchResult
 	n.jobs.ReadResults(job, 0, func(_ time.Time, results []*doorstepv1.BatchResult, ok bool) {
 		if !ok {
-			t.Fatal("not read")
+			t.Fatal("results were not read")
 		}
 		got = results
 	})
@@ -197,7 +197,7 @@
 	return job
 }
 
-// share lets another node's machine see the heads of the store.
+// syncHeads delivers all head records in the store to a node.
 func syncHeads(n *testNode) {
 	for number := range Partitions {
 		for _, record := range n.store.Range(n.now, port.RecordRange{Table: port.SharedTable, Partition: PartitionName(number)}).Records {
@@ -206,7 +206,7 @@
 	}
 }
 
-// finishAll ends all open runs as stopped.
+// interruptAll ends all open runs as interrupted.
 func interruptAll(n *testNode) {
 	for _, run := range n.takeRuns() {
 		n.finish(run, task.RunInterrupted, 2, 12)
--- a/internal/version/batch/text_test.go
+++ b/internal/version/batch/text_test.go
@@ -10,9 +10,9 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// TestDiscardedTextsDoNotMix: a text that is begun anew is kept under a prefix of its own,
-// and what does not follow event by event is not taken. Either is what keeps parts of two
-// texts apart (scripts/proof/3-texts.patch breaks both).
+// TestDiscardedTextsDoNotMix tests that each generation of a text has its own key prefix, and
+// that texts with a gap are rejected. Either prevents mixing parts of different texts
+// (scripts/proof/3-texts.patch breaks both).
 func TestDiscardedTextsDoNotMix(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.accept(newJob("j", 1))
@@ -20,17 +20,17 @@
 	before := owned.checkpointKey(0)
 	owned.items[0].discardText()
 	if after := owned.checkpointKey(0); after == before {
-		t.Errorf("both texts are kept under %s", after.Key)
+		t.Errorf("both texts have the key %s", after.Key)
 	}
 	owned.items[0].state = itemWaiting
 	owned.restoreText(n.now, 0, &doorstepv1.KeptText{Events: []*doorstepv1.KeptEvent{{Id: 1, Version: 2}, {Id: 3, Version: 2}}})
 	if got := len(owned.items[0].events); got != 0 {
-		t.Errorf("a text with a gap was taken, %d events", got)
+		t.Errorf("a text with a gap was restored, %d events", got)
 	}
 }
 
-// TestLateWritesDoNotCutTexts: seeds 236, 263, 272 and 280 of the simulation. An older write of
-// a part takes effect behind the newer one, and the part behind it says that the text is whole.
+// TestLateWritesDoNotCutTexts tests an old write of a part that takes effect after a newer one,
+// where the following part marks the text as complete. The text must not be truncated.
 func TestLateWritesDoNotCutTexts(t *testing.T) {
 	owner := newScoringNode(t)
 	owner.elapse(checkpointInterval + 100*time.Millisecond)
@@ -46,17 +46,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	behind := first
-	behind.Key += "z"
-	owner.store.Commit(owner.now, port.RecordTransaction{Puts: []port.Record{{RecordKey: first, Value: older}, {RecordKey: behind, Value: newest}}})
+	following := first
+	following.Key += "z"
+	owner.store.Commit(owner.now, port.RecordTransaction{Puts: []port.Record{{RecordKey: first, Value: older}, {RecordKey: following, Value: newest}}})
 	other := newTestNode("b", owner.store)
 	other.now = owner.now
 	syncHeads(other)
 	other.elapse(2 * time.Second)
 	if runs := other.takeRuns(); len(runs) != 1 || runs[0].After != 2 {
-		t.Errorf("%d runs: the text goes on behind its second event", len(runs))
+		t.Errorf("%d runs, want one that resumes after event 2", len(runs))
 	}
 	if got := other.results(t, "j"); len(got) != 0 {
-		t.Errorf("a part of a text is listed: %v", got)
+		t.Errorf("an incomplete text was listed: %v", got)
 	}
 }
