--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -76,7 +76,7 @@
 		a.refuse(w, id, http.StatusNotFound, 0, reasonNoJob)
 	case batch.OtherTenants:
 		a.refuse(w, id, http.StatusConflict, 0, reasonIDInUse)
-	case batch.Unsure:
+	case batch.Indeterminate:
 		a.refuse(w, id, http.StatusGatewayTimeout, 0, reasonStoreSilent)
 	case batch.Unserved:
 		a.refuse(w, id, http.StatusServiceUnavailable, homesComeBack, reasonNoHome)
--- a/internal/simulation/clustersim/trainer.go
+++ b/internal/simulation/clustersim/trainer.go
@@ -188,7 +188,7 @@
 				known.maybe = true
 				known.acceptedAt = w.Now
 				w.After(readEvery, func() { t.read(known, w.Now.Add(resultsWithin)) })
-			case batch.Unsure:
+			case batch.Indeterminate:
 				known.maybe = true
 				again()
 			default:
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -21,8 +21,8 @@
 	Done Outcome = iota
 	// NotDone means that the request did not take effect and never will.
 	NotDone
-	// Unsure means that the request may have taken effect or may still do so.
-	Unsure
+	// Indeterminate means that the request may have taken effect or may still do so.
+	Indeterminate
 	// Absent means that the job does not exist.
 	Absent
 	// OtherTenants means that the job ID is already used by another tenant.
@@ -219,7 +219,7 @@
 	if now.Sub(s.startedAt)+s.backoff >= limit {
 		outcome := NotDone
 		if s.indeterminate {
-			outcome = Unsure
+			outcome = Indeterminate
 		}
 		s.finish(now, outcome)
 		return
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -76,8 +76,8 @@
 	}{
 		{"rejected, then accepted", []port.RecordStatus{port.RecordRefused, port.RecordDone}, true, Done},
 		{"always rejected", []port.RecordStatus{port.RecordRefused}, false, NotDone},
-		{"never answered", []port.RecordStatus{port.RecordUnknown}, false, Unsure},
-		{"not answered, then rejected: may still take effect", []port.RecordStatus{port.RecordUnknown, port.RecordRefused}, false, Unsure},
+		{"never answered", []port.RecordStatus{port.RecordUnknown}, false, Indeterminate},
+		{"not answered, then rejected: may still take effect", []port.RecordStatus{port.RecordUnknown, port.RecordRefused}, false, Indeterminate},
 		{"applied without an answer, found by a retry", []port.RecordStatus{port.RecordUnknown, port.RecordConflict}, true, Done},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/version/batch/end.go
+++ b/internal/version/batch/end.go
@@ -81,7 +81,7 @@
 	if now.Sub(r.startedAt)+r.backoff >= endTimeout {
 		outcome := NotDone
 		if r.indeterminate {
-			outcome = Unsure
+			outcome = Indeterminate
 		}
 		r.done(now, outcome)
 		return
