--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -80,7 +80,7 @@
 		a.refuse(w, id, http.StatusGatewayTimeout, 0, reasonStoreSilent)
 	case batch.Unserved:
 		a.refuse(w, id, http.StatusServiceUnavailable, homesComeBack, reasonNoHome)
-	case batch.NotDone, batch.Done:
+	case batch.NotApplied, batch.Done:
 		a.refuse(w, id, http.StatusServiceUnavailable, comeBack, reasonStoreRefuses)
 	}
 }
@@ -210,7 +210,7 @@
 			read := func(state batch.State) {
 				jobs.ReadResults(call.Job, call.From, func(_ time.Time, results []*doorstepv1.BatchResult, ok bool) {
 					if !ok {
-						done <- jobReading{outcome: batch.NotDone}
+						done <- jobReading{outcome: batch.NotApplied}
 						return
 					}
 					done <- jobReading{outcome: batch.Done, state: state, results: results}
@@ -233,7 +233,7 @@
 		state, ok := jobs.Known(id)
 		switch {
 		case status != port.RecordDone:
-			failed(batch.NotDone)
+			failed(batch.NotApplied)
 		case !ok:
 			failed(batch.Absent)
 		default:
@@ -273,7 +273,7 @@
 
 func findItem(job *doorstepv1.BatchJob, id string) itemReading {
 	if job == nil {
-		return itemReading{outcome: batch.NotDone}
+		return itemReading{outcome: batch.NotApplied}
 	}
 	for _, one := range job.Items {
 		if one.Id == id {
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -19,8 +19,8 @@
 const (
 	// Done means that the request took effect, now or earlier.
 	Done Outcome = iota
-	// NotDone means that the request did not take effect and never will.
-	NotDone
+	// NotApplied means that the request did not take effect and never will.
+	NotApplied
 	// Indeterminate means that the request may have taken effect or may still do so.
 	Indeterminate
 	// Absent means that the job does not exist.
@@ -86,8 +86,8 @@
 	// known.
 	_, acceptedAt, known := j.options.Clock(now)
 	if !known {
-		j.logAcceptance(now, job, NotDone, 0)
-		done(now, NotDone)
+		j.logAcceptance(now, job, NotApplied, 0)
+		done(now, NotApplied)
 		return
 	}
 	route := j.options.Route(job.Host, job.Path)
@@ -217,7 +217,7 @@
 		limit = acceptTimeout
 	}
 	if now.Sub(s.startedAt)+s.backoff >= limit {
-		outcome := NotDone
+		outcome := NotApplied
 		if s.indeterminate {
 			outcome = Indeterminate
 		}
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -62,7 +62,7 @@
 func TestJobRejectedWithoutStoreClock(t *testing.T) {
 	n := newTestNode("a", newStore())
 	n.clockKnown = false
-	if outcome, _ := n.accept(newJob("j", 1)); outcome != NotDone {
+	if outcome, _ := n.accept(newJob("j", 1)); outcome != NotApplied {
 		t.Errorf("outcome %d", outcome)
 	}
 }
@@ -75,7 +75,7 @@
 		want    Outcome
 	}{
 		{"rejected, then accepted", []port.RecordStatus{port.RecordRefused, port.RecordDone}, true, Done},
-		{"always rejected", []port.RecordStatus{port.RecordRefused}, false, NotDone},
+		{"always rejected", []port.RecordStatus{port.RecordRefused}, false, NotApplied},
 		{"never answered", []port.RecordStatus{port.RecordUnknown}, false, Indeterminate},
 		{"not answered, then rejected: may still take effect", []port.RecordStatus{port.RecordUnknown, port.RecordRefused}, false, Indeterminate},
 		{"applied without an answer, found by a retry", []port.RecordStatus{port.RecordUnknown, port.RecordConflict}, true, Done},
--- a/internal/version/batch/end.go
+++ b/internal/version/batch/end.go
@@ -79,7 +79,7 @@
 func (r *endRequest) retry(now time.Time, indeterminate bool) {
 	r.indeterminate = r.indeterminate || indeterminate
 	if now.Sub(r.startedAt)+r.backoff >= endTimeout {
-		outcome := NotDone
+		outcome := NotApplied
 		if r.indeterminate {
 			outcome = Indeterminate
 		}
