--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -42,7 +42,7 @@
 		})
 	})
 	a.metrics.accepted(outcome)
-	if outcome == batch.Done {
+	if outcome == batch.Applied {
 		a.protocol.SetRequestID(w.Header(), id)
 		w.WriteHeader(http.StatusAccepted)
 		return
@@ -80,7 +80,7 @@
 		a.refuse(w, id, http.StatusGatewayTimeout, 0, reasonStoreSilent)
 	case batch.Unserved:
 		a.refuse(w, id, http.StatusServiceUnavailable, homesComeBack, reasonNoHome)
-	case batch.NotApplied, batch.Done:
+	case batch.NotApplied, batch.Applied:
 		a.refuse(w, id, http.StatusServiceUnavailable, comeBack, reasonStoreRefuses)
 	}
 }
@@ -101,7 +101,7 @@
 				a.node.Jobs().End(now, call.Job, func(_ time.Time, outcome batch.Outcome) { done <- outcome })
 			})
 		})
-		if outcome != batch.Done {
+		if outcome != batch.Applied {
 			a.refuseOutcome(w, call.Job, outcome)
 		}
 	case port.NoJobCall:
@@ -128,10 +128,10 @@
 				func(outcome batch.Outcome) { done <- jobReading{outcome: outcome} })
 		})
 	})
-	if read.outcome == batch.Done && !who.MayUse(read.state.Tenant) {
+	if read.outcome == batch.Applied && !who.MayUse(read.state.Tenant) {
 		read.outcome = batch.Absent
 	}
-	if read.outcome != batch.Done {
+	if read.outcome != batch.Applied {
 		a.refuseOutcome(w, call.Job, read.outcome)
 		return false
 	}
@@ -158,7 +158,7 @@
 	for {
 		changed := a.watchJob(call.Job)
 		read := a.readResults(r.Context(), call)
-		if read.outcome != batch.Done {
+		if read.outcome != batch.Applied {
 			a.refuseOutcome(w, call.Job, read.outcome)
 			return
 		}
@@ -213,7 +213,7 @@
 						done <- jobReading{outcome: batch.NotApplied}
 						return
 					}
-					done <- jobReading{outcome: batch.Done, state: state, results: results}
+					done <- jobReading{outcome: batch.Applied, state: state, results: results}
 				})
 			}
 			a.withState(call.Job, read, func(outcome batch.Outcome) { done <- jobReading{outcome: outcome} })
@@ -264,7 +264,7 @@
 			a.withState(call.Job, found, func(outcome batch.Outcome) { done <- itemReading{outcome: outcome} })
 		})
 	})
-	if read.outcome != batch.Done {
+	if read.outcome != batch.Applied {
 		a.refuseOutcome(w, call.Job, read.outcome)
 		return
 	}
@@ -277,7 +277,7 @@
 	}
 	for _, one := range job.Items {
 		if one.Id == id {
-			return itemReading{outcome: batch.Done, body: one.Body}
+			return itemReading{outcome: batch.Applied, body: one.Body}
 		}
 	}
 	return itemReading{outcome: batch.Absent}
--- a/internal/process/agent/trainer.go
+++ b/internal/process/agent/trainer.go
@@ -188,7 +188,7 @@
 		j.agent.do(func(now time.Time) {
 			j.agent.node.Jobs().Accept(now, job, func(_ time.Time, outcome batch.Outcome) { done <- outcome })
 		})
-	}) == batch.Done
+	}) == batch.Applied
 }
 
 // Whole waits until a job is whole and returns its results.
@@ -198,7 +198,7 @@
 	for ctx.Err() == nil {
 		changed := j.agent.watchJob(id)
 		read := j.agent.readResults(ctx, port.JobCall{Kind: port.ReadJob, Job: id, From: len(results)})
-		if read.outcome != batch.Done {
+		if read.outcome != batch.Applied {
 			return nil
 		}
 		results = append(results, read.results...)
--- a/internal/simulation/clustersim/trainer.go
+++ b/internal/simulation/clustersim/trainer.go
@@ -182,7 +182,7 @@
 				return
 			}
 			switch outcome {
-			case batch.Done:
+			case batch.Applied:
 				answered = true
 				known.pending--
 				known.maybe = true
@@ -233,7 +233,7 @@
 			if outcome == batch.Absent && n.healthy(w.Now) {
 				w.check.violate(w, "nothing-lost", "%s: an accepted job is absent at its end", known.content.Id)
 			}
-			if outcome == batch.Done && known.endedAt == (time.Time{}) {
+			if outcome == batch.Applied && known.endedAt == (time.Time{}) {
 				known.endedAt = w.Now
 				w.operator.name(t.model, max(w.operator.targets[t.model], 1)+1)
 			}
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -17,8 +17,8 @@
 type Outcome int
 
 const (
-	// Done means that the request took effect, now or earlier.
-	Done Outcome = iota
+	// Applied means that the request took effect, now or earlier.
+	Applied Outcome = iota
 	// NotApplied means that the request did not take effect and never will.
 	NotApplied
 	// Indeterminate means that the request may have taken effect or may still do so.
@@ -127,13 +127,13 @@
 	if known.Tenant != job.Tenant {
 		return OtherTenants
 	}
-	return Done
+	return Applied
 }
 
 // logAcceptance logs the outcome of a submission.
 func (j *Jobs) logAcceptance(now time.Time, job *doorstepv1.BatchJob, outcome Outcome, took time.Duration) {
 	number := event.JobAccepted
-	if outcome != Done {
+	if outcome != Applied {
 		number = event.JobRefused
 	}
 	least, most, _ := j.options.Clock(now)
@@ -181,7 +181,7 @@
 		} else {
 			s.jobs.setHead(now, s.job.Id, s.head, result.Revision)
 		}
-		s.finish(now, Done)
+		s.finish(now, Applied)
 	case port.RecordConflict:
 		// Another attempt to submit this job succeeded, possibly from this node.
 		s.adoptExisting(now, result)
@@ -189,7 +189,7 @@
 			s.finish(now, duplicateOutcome(known.BatchJobHead, s.job))
 			return
 		}
-		s.finish(now, Done)
+		s.finish(now, Applied)
 	case port.RecordUnknown:
 		s.retry(now, true)
 	default:
@@ -204,7 +204,7 @@
 		}
 		s.jobs.OnHead(now, record)
 		known := s.jobs.heads[s.job.Id]
-		if known != nil && duplicateOutcome(known.BatchJobHead, s.job) == Done && s.jobs.isOwner(known.BatchJobHead) && s.jobs.owned[s.job.Id] == nil && !known.Ended {
+		if known != nil && duplicateOutcome(known.BatchJobHead, s.job) == Applied && s.jobs.isOwner(known.BatchJobHead) && s.jobs.owned[s.job.Id] == nil && !known.Ended {
 			s.jobs.startJob(now, s.job, known.BatchJobHead, known.revision, s.headSentAt, false)
 		}
 	}
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -14,7 +14,7 @@
 
 func TestJobCompletes(t *testing.T) {
 	n := newTestNode("a", newStore())
-	if outcome, _ := n.accept(newJob("j", 3)); outcome != Done {
+	if outcome, _ := n.accept(newJob("j", 3)); outcome != Applied {
 		t.Fatalf("outcome %d", outcome)
 	}
 	n.elapse(200 * time.Millisecond)
@@ -74,11 +74,11 @@
 		done    bool
 		want    Outcome
 	}{
-		{"rejected, then accepted", []port.RecordStatus{port.RecordRefused, port.RecordDone}, true, Done},
+		{"rejected, then accepted", []port.RecordStatus{port.RecordRefused, port.RecordDone}, true, Applied},
 		{"always rejected", []port.RecordStatus{port.RecordRefused}, false, NotApplied},
 		{"never answered", []port.RecordStatus{port.RecordUnknown}, false, Indeterminate},
 		{"not answered, then rejected: may still take effect", []port.RecordStatus{port.RecordUnknown, port.RecordRefused}, false, Indeterminate},
-		{"applied without an answer, found by a retry", []port.RecordStatus{port.RecordUnknown, port.RecordConflict}, true, Done},
+		{"applied without an answer, found by a retry", []port.RecordStatus{port.RecordUnknown, port.RecordConflict}, true, Applied},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newTestNode("a", newStore())
@@ -180,7 +180,7 @@
 	var outcome Outcome = Absent
 	n.jobs.End(n.now, "j", func(_ time.Time, got Outcome) { outcome = got })
 	n.runTasks()
-	if runs := n.takeRuns(); outcome != Done || len(runs) != 2 || !n.stopped[runs[0].ID] || !n.stopped[runs[1].ID] {
+	if runs := n.takeRuns(); outcome != Applied || len(runs) != 2 || !n.stopped[runs[0].ID] || !n.stopped[runs[1].ID] {
 		t.Errorf("outcome %d, stopped %v", outcome, n.stopped)
 	}
 	n.elapse(time.Second)
@@ -225,7 +225,7 @@
 	n := newTestNode("a", newStore())
 	job := newJob("j", 2)
 	job.Items[0].Body = make([]byte, 1_500_000)
-	if outcome, _ := n.accept(job); outcome != Done {
+	if outcome, _ := n.accept(job); outcome != Applied {
 		t.Fatalf("outcome %d", outcome)
 	}
 	fresh := newTestNode("b", n.store)
--- a/internal/version/batch/end.go
+++ b/internal/version/batch/end.go
@@ -17,7 +17,7 @@
 func (j *Jobs) End(now time.Time, id string, done func(now time.Time, outcome Outcome)) {
 	known := j.heads[id]
 	if known != nil && known.Ended {
-		done(now, Done)
+		done(now, Applied)
 		return
 	}
 	r := &endRequest{jobs: j, id: id, startedAt: now, backoff: initialBackoff, done: done}
@@ -58,7 +58,7 @@
 		return
 	}
 	if known.Ended {
-		r.done(now, Done)
+		r.done(now, Applied)
 		return
 	}
 	next := proto.Clone(known.BatchJobHead).(*doorstepv1.BatchJobHead)
@@ -67,7 +67,7 @@
 		switch result.Status {
 		case port.RecordDone:
 			r.jobs.options.Queue.Log(event.JobEnded, "job", r.id, "listed", next.Listed, "total", next.Total)
-			r.done(now, Done)
+			r.done(now, Applied)
 		case port.RecordConflict:
 			r.submit(now)
 		default:
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -128,7 +128,7 @@
 	store := newStore()
 	n := newRegionalNode("a", "west", store, "north")
 	n.jobs.options.Homes.Served = func(*port.Route, string) bool { return false }
-	got := Done
+	got := Applied
 	n.jobs.Accept(n.now, newJob("j", 2), func(_ time.Time, outcome Outcome) { got = outcome })
 	n.runTasks()
 	syncHeads(n)
