--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -72,7 +72,7 @@
 // refuseOutcome answers a call about a job that was not, or perhaps not, carried out.
 func (a *Agent) refuseOutcome(w http.ResponseWriter, id string, outcome batch.Outcome) {
 	switch outcome {
-	case batch.Absent:
+	case batch.NotFound:
 		a.refuse(w, id, http.StatusNotFound, 0, reasonNoJob)
 	case batch.OtherTenants:
 		a.refuse(w, id, http.StatusConflict, 0, reasonIDInUse)
@@ -129,7 +129,7 @@
 		})
 	})
 	if read.outcome == batch.Applied && !who.MayUse(read.state.Tenant) {
-		read.outcome = batch.Absent
+		read.outcome = batch.NotFound
 	}
 	if read.outcome != batch.Applied {
 		a.refuseOutcome(w, call.Job, read.outcome)
@@ -235,7 +235,7 @@
 		case status != port.RecordDone:
 			failed(batch.NotApplied)
 		case !ok:
-			failed(batch.Absent)
+			failed(batch.NotFound)
 		default:
 			found(state)
 		}
@@ -254,7 +254,7 @@
 		a.do(func(now time.Time) {
 			found := func(state batch.State) {
 				if state.Ended {
-					done <- itemReading{outcome: batch.Absent}
+					done <- itemReading{outcome: batch.NotFound}
 					return
 				}
 				a.node.Jobs().ReadContent(now, call.Job, func(_ time.Time, job *doorstepv1.BatchJob) {
@@ -280,5 +280,5 @@
 			return itemReading{outcome: batch.Applied, body: one.Body}
 		}
 	}
-	return itemReading{outcome: batch.Absent}
+	return itemReading{outcome: batch.NotFound}
 }
--- a/internal/simulation/clustersim/trainer.go
+++ b/internal/simulation/clustersim/trainer.go
@@ -230,7 +230,7 @@
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	n.do(n.life, func(now time.Time) {
 		n.node.Jobs().End(now, known.content.Id, func(_ time.Time, outcome batch.Outcome) {
-			if outcome == batch.Absent && n.healthy(w.Now) {
+			if outcome == batch.NotFound && n.healthy(w.Now) {
 				w.check.violate(w, "nothing-lost", "%s: an accepted job is absent at its end", known.content.Id)
 			}
 			if outcome == batch.Applied && known.endedAt == (time.Time{}) {
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -23,8 +23,8 @@
 	NotApplied
 	// Indeterminate means that the request may have taken effect or may still do so.
 	Indeterminate
-	// Absent means that the job does not exist.
-	Absent
+	// NotFound means that the job does not exist.
+	NotFound
 	// OtherTenants means that the job ID is already used by another tenant.
 	OtherTenants
 	// Unserved means that the job was rejected because its home regions have no replica.
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -177,7 +177,7 @@
 	n := newTestNode("a", newStore())
 	n.accept(newJob("j", 2))
 	n.elapse(200 * time.Millisecond)
-	var outcome Outcome = Absent
+	var outcome Outcome = NotFound
 	n.jobs.End(n.now, "j", func(_ time.Time, got Outcome) { outcome = got })
 	n.runTasks()
 	if runs := n.takeRuns(); outcome != Applied || len(runs) != 2 || !n.stopped[runs[0].ID] || !n.stopped[runs[1].ID] {
--- a/internal/version/batch/end.go
+++ b/internal/version/batch/end.go
@@ -44,7 +44,7 @@
 		case status != port.RecordDone:
 			r.retry(now, false)
 		case r.jobs.heads[r.id] == nil:
-			r.done(now, Absent)
+			r.done(now, NotFound)
 		default:
 			r.submit(now)
 		}
@@ -54,7 +54,7 @@
 func (r *endRequest) submit(now time.Time) {
 	known := r.jobs.heads[r.id]
 	if known == nil {
-		r.done(now, Absent)
+		r.done(now, NotFound)
 		return
 	}
 	if known.Ended {
