--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -74,7 +74,7 @@
 	switch outcome {
 	case batch.NotFound:
 		a.refuse(w, id, http.StatusNotFound, 0, reasonNoJob)
-	case batch.OtherTenants:
+	case batch.TenantMismatch:
 		a.refuse(w, id, http.StatusConflict, 0, reasonIDInUse)
 	case batch.Indeterminate:
 		a.refuse(w, id, http.StatusGatewayTimeout, 0, reasonStoreSilent)
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -25,8 +25,8 @@
 	Indeterminate
 	// NotFound means that the job does not exist.
 	NotFound
-	// OtherTenants means that the job ID is already used by another tenant.
-	OtherTenants
+	// TenantMismatch means that the job ID is already used by another tenant.
+	TenantMismatch
 	// Unserved means that the job was rejected because its home regions have no replica.
 	Unserved
 )
@@ -125,7 +125,7 @@
 // duplicateOutcome returns the outcome of submitting a job whose ID already exists.
 func duplicateOutcome(known *doorstepv1.BatchJobHead, job *doorstepv1.BatchJob) Outcome {
 	if known.Tenant != job.Tenant {
-		return OtherTenants
+		return TenantMismatch
 	}
 	return Applied
 }
