--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -78,7 +78,7 @@
 		a.refuse(w, id, http.StatusConflict, 0, reasonIDInUse)
 	case batch.Indeterminate:
 		a.refuse(w, id, http.StatusGatewayTimeout, 0, reasonStoreSilent)
-	case batch.Unserved:
+	case batch.NoReplica:
 		a.refuse(w, id, http.StatusServiceUnavailable, homesComeBack, reasonNoHome)
 	case batch.NotApplied, batch.Applied:
 		a.refuse(w, id, http.StatusServiceUnavailable, comeBack, reasonStoreRefuses)
--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -190,7 +190,7 @@
 }
 
 func (m *metrics) accepted(outcome batch.Outcome) {
-	names := map[batch.Outcome]string{batch.Applied: "accepted", batch.NotApplied: "refused", batch.Indeterminate: "unsure", batch.Unserved: "unserved"}
+	names := map[batch.Outcome]string{batch.Applied: "accepted", batch.NotApplied: "refused", batch.Indeterminate: "unsure", batch.NoReplica: "unserved"}
 	m.jobs.WithLabelValues(names[outcome]).Inc()
 }
 
--- a/internal/simulation/clustersim/trainer.go
+++ b/internal/simulation/clustersim/trainer.go
@@ -178,7 +178,7 @@
 	n.do(n.life, func(now time.Time) {
 		n.node.Jobs().Accept(now, job, func(_ time.Time, outcome batch.Outcome) {
 			if answered {
-				known.maybe = known.maybe || outcome != batch.NotApplied && outcome != batch.Unserved
+				known.maybe = known.maybe || outcome != batch.NotApplied && outcome != batch.NoReplica
 				return
 			}
 			switch outcome {
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -27,8 +27,8 @@
 	NotFound
 	// TenantMismatch means that the job ID is already used by another tenant.
 	TenantMismatch
-	// Unserved means that the job was rejected because its home regions have no replica.
-	Unserved
+	// NoReplica means that the job was rejected because its home regions have no replica.
+	NoReplica
 )
 
 const (
@@ -92,8 +92,8 @@
 	}
 	route := j.options.Route(job.Host, job.Path)
 	if !j.options.Homes.served(route, job.Tenant) {
-		j.logAcceptance(now, job, Unserved, 0)
-		done(now, Unserved)
+		j.logAcceptance(now, job, NoReplica, 0)
+		done(now, NoReplica)
 		return
 	}
 	homes := j.options.Homes.of(route, job.Tenant)
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -132,7 +132,7 @@
 	n.jobs.Accept(n.now, newJob("j", 2), func(_ time.Time, outcome Outcome) { got = outcome })
 	n.runTasks()
 	syncHeads(n)
-	if got != Unserved || len(n.jobs.heads) != 0 {
+	if got != NoReplica || len(n.jobs.heads) != 0 {
 		t.Errorf("outcome %d, heads %v", got, n.jobs.heads)
 	}
 }
