--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -141,7 +141,7 @@
 func (a *Agent) knownJob(id string) (batch.State, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.node.Jobs().Known(id)
+	return a.node.Jobs().Lookup(id)
 }
 
 // jobReading is the state of a job and results read from it.
@@ -225,12 +225,12 @@
 // the job, or failed. It is called within the node's loop.
 func (a *Agent) withState(id string, found func(state batch.State), failed func(outcome batch.Outcome)) {
 	jobs := a.node.Jobs()
-	if state, ok := jobs.Known(id); ok {
+	if state, ok := jobs.Lookup(id); ok {
 		found(state)
 		return
 	}
 	jobs.ReadHead(id, func(_ time.Time, status port.RecordStatus) {
-		state, ok := jobs.Known(id)
+		state, ok := jobs.Lookup(id)
 		switch {
 		case status != port.RecordDone:
 			failed(batch.NotApplied)
--- a/internal/simulation/clustersim/region.go
+++ b/internal/simulation/clustersim/region.go
@@ -134,7 +134,7 @@
 	job, _ := field(fields, "job").(string)
 	switch number {
 	case event.JobAccepted:
-		if state, known := n.node.Jobs().Known(job); known && state.Owner == n.name {
+		if state, known := n.node.Jobs().Lookup(job); known && state.Owner == n.name {
 			o.begin(n, job)
 		}
 	case event.JobAssigned:
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -154,8 +154,8 @@
 	return &Jobs{options: options, heads: map[string]*head{}, owned: map[string]*ownedJob{}, isolatedRuns: map[string]int{}, lengthHistories: map[string]*lengthHistory{}}
 }
 
-// Known returns the last observed state of a job.
-func (j *Jobs) Known(id string) (state State, ok bool) {
+// Lookup returns the last observed state of a job.
+func (j *Jobs) Lookup(id string) (state State, ok bool) {
 	known := j.heads[id]
 	if known == nil {
 		return State{}, false
--- a/internal/version/batch/collect_test.go
+++ b/internal/version/batch/collect_test.go
@@ -49,7 +49,7 @@
 		if kept := other.countRecords("j") > 0; kept != c.kept {
 			t.Errorf("%s: kept %t, should be %t", c.name, kept, c.kept)
 		}
-		if _, known := other.jobs.Known("j"); known != c.kept {
+		if _, known := other.jobs.Lookup("j"); known != c.kept {
 			t.Errorf("%s: known %t, should be %t", c.name, known, c.kept)
 		}
 		if c.age < abandonedRetention && other.countRecords("j2") != neighbour {
@@ -82,7 +82,7 @@
 	}
 	owner.commitHook = nil
 	owner.collect(3 * collectInterval)
-	if _, known := owner.jobs.Known("j"); known {
+	if _, known := owner.jobs.Lookup("j"); known {
 		t.Error("a head record deleted by another node is still known")
 	}
 }
