--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -87,7 +87,7 @@
 
 // onSharedHealth notes that the watch of the shared table broke or is whole again.
 func (n *Node) onSharedHealth(now time.Time, healthy bool) {
-	n.jobs.Observing(now, healthy)
+	n.jobs.SetObserving(now, healthy)
 	for _, lease := range n.sortedLeases() {
 		lease.Observing(now, healthy)
 	}
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -206,8 +206,8 @@
 	return counts
 }
 
-// Observing records whether the watch of head records is uninterrupted.
-func (j *Jobs) Observing(now time.Time, observing bool) {
+// SetObserving records whether the watch of head records is uninterrupted.
+func (j *Jobs) SetObserving(now time.Time, observing bool) {
 	if observing && !j.observing {
 		j.observedSince = now
 	}
--- a/internal/version/batch/owner_test.go
+++ b/internal/version/batch/owner_test.go
@@ -60,7 +60,7 @@
 			c.prepare(owner, other)
 			other.now = owner.now
 			syncHeads(other)
-			other.jobs.Observing(other.now, c.observes)
+			other.jobs.SetObserving(other.now, c.observes)
 			other.elapse(c.within)
 			if got := other.jobs.Owned() == 1; got != c.takes {
 				t.Errorf("taken %t, should be %t", got, c.takes)
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -83,7 +83,7 @@
 		},
 		Quarantine: quarantine.New(quarantine.Options{Self: self, Queue: n.queue, StoreClock: func(at time.Time) time.Duration { return at.Sub(epoch) }}),
 	})
-	n.jobs.Observing(n.now, true)
+	n.jobs.SetObserving(n.now, true)
 	return n
 }
 
