--- a/internal/process/cluster/workingset.go
+++ b/internal/process/cluster/workingset.go
@@ -50,7 +50,7 @@
 	if now.Sub(n.needs.takenAt) < needsEvery && !slices.ContainsFunc(models, unknown) {
 		return
 	}
-	items := n.jobs.ItemsAtOnce(now)
+	items := n.jobs.PeakItems(now)
 	n.needs = modelNeeds{byModel: make(map[string]endpoint.Need, len(models)), takenAt: now}
 	for _, model := range models {
 		n.needs.byModel[model] = endpoint.Need{Endpoints: leastReplicas}
--- a/internal/version/batch/demand.go
+++ b/internal/version/batch/demand.go
@@ -31,8 +31,8 @@
 	capacityWindow = 10 * time.Minute
 )
 
-// ItemsAtOnce returns the peak number of concurrent items of recent jobs by model.
-func (j *Jobs) ItemsAtOnce(now time.Time) map[string]int {
+// PeakItems returns the peak number of concurrent items of recent jobs by model.
+func (j *Jobs) PeakItems(now time.Time) map[string]int {
 	byModel := map[string][]*head{}
 	for _, known := range j.heads {
 		if known.Model != "" && j.age(now, known.AcceptedAtMs) < capacityWindow {
