--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -144,7 +144,7 @@
 		n.scaling = n.newScalingDuty()
 	}
 	n.rollout = rollout.New(rollout.Options{
-		Self: options.Name, Queue: n.queue, Lease: n.lease, Endpoints: n.workingSet, Demand: n.demand, Longest: n.jobs.Longest, WallClock: n.wallClock,
+		Self: options.Name, Queue: n.queue, Lease: n.lease, Endpoints: n.workingSet, Demand: n.demand, Longest: n.jobs.LongestEvents, WallClock: n.wallClock,
 	})
 	n.operators = configuration.Empty()
 	n.watchTables()
--- a/internal/version/batch/demand.go
+++ b/internal/version/batch/demand.go
@@ -55,10 +55,10 @@
 	return peak
 }
 
-// Longest returns the expected maximum number of events per text by model, as published in the
+// LongestEvents returns the expected maximum number of events per text by model, as published in the
 // newest recent job of each model. For jobs accepted in the same millisecond the larger value
 // counts.
-func (j *Jobs) Longest(now time.Time) map[string]int64 {
+func (j *Jobs) LongestEvents(now time.Time) map[string]int64 {
 	longest, newest := map[string]int64{}, map[string]int64{}
 	for _, known := range j.heads {
 		if known.Model == "" || known.LongestEvents <= 0 || j.age(now, known.AcceptedAtMs) >= demandWindow {
--- a/internal/version/batch/length_test.go
+++ b/internal/version/batch/length_test.go
@@ -71,7 +71,7 @@
 	n := newTestNode("a", newStore())
 	n.mostEvents = 140
 	n.accept(newJob("j", minLengthSamples+1))
-	if got := n.jobs.Longest(n.now)["m"]; got != 140 {
+	if got := n.jobs.LongestEvents(n.now)["m"]; got != 140 {
 		t.Errorf("longest text of a new job is %d events, want 140", got)
 	}
 	runs := n.takeRuns()
@@ -79,20 +79,20 @@
 		n.finish(run, task.RunCompleted, 2, 10+i)
 	}
 	n.elapse(heartbeatInterval)
-	if got := n.jobs.Longest(n.now)["m"]; got != 140 {
+	if got := n.jobs.LongestEvents(n.now)["m"]; got != 140 {
 		t.Errorf("longest text is %d events while longer ones are running, want 140", got)
 	}
 	n.finish(runs[minLengthSamples], task.RunCompleted, 2, 10)
 	n.elapse(heartbeatInterval)
 	n.accept(newJob("i", 1))
-	if got := n.jobs.Longest(n.now)["m"]; got != 10+minLengthSamples-1 {
+	if got := n.jobs.LongestEvents(n.now)["m"]; got != 10+minLengthSamples-1 {
 		t.Errorf("longest text is %d events, want %d", got, 10+minLengthSamples-1)
 	}
 	n.jobs.setHead(n.now, "k", &doorstepv1.BatchJobHead{Model: "m", LongestEvents: 90, AcceptedAtMs: n.now.Sub(epoch).Milliseconds()}, 1000)
-	if got := n.jobs.Longest(n.now)["m"]; got != 90 {
+	if got := n.jobs.LongestEvents(n.now)["m"]; got != 90 {
 		t.Errorf("longest text is %d events, want 90 of the newest job", got)
 	}
-	if got := n.jobs.Longest(n.now.Add(demandWindow))["m"]; got != 0 {
+	if got := n.jobs.LongestEvents(n.now.Add(demandWindow))["m"]; got != 0 {
 		t.Errorf("longest text is %d events, want 0 without recent jobs", got)
 	}
 }
