--- a/internal/process/cluster/standing.go
+++ b/internal/process/cluster/standing.go
@@ -11,7 +11,7 @@
 const slowShare = 0.5
 
 // standing returns how fit this node is to run one more job.
-func (n *Node) standing(now time.Time) batch.Standing {
+func (n *Node) standing(now time.Time) batch.Fitness {
 	share := n.options.ProcessorShare
 	switch {
 	case share > 0 && share < slowShare:
--- a/internal/version/batch/standing.go
+++ b/internal/version/batch/standing.go
@@ -8,13 +8,13 @@
 	"github.com/doorstep/doorstep/internal/version/recordlease"
 )
 
-// Standing is a node's fitness to run another job. Fitter nodes go first when a job without a
+// Fitness is a node's fitness to run another job. Fitter nodes go first when a job without a
 // responsive owner is taken over.
-type Standing int
+type Fitness int
 
 const (
 	// Usual is the standing of all nodes of a small deployment, except slow ones.
-	Usual Standing = iota
+	Usual Fitness = iota
 	// Ready nodes have the replica list of a large deployment loaded and own no job.
 	Ready
 	// Unready nodes would first have to load the replica list, or are busy.
@@ -31,7 +31,7 @@
 	slowDelay    = 800 * time.Millisecond
 )
 
-func (j *Jobs) standing(now time.Time) Standing {
+func (j *Jobs) standing(now time.Time) Fitness {
 	if j.options.Standing == nil {
 		return Usual
 	}
--- a/internal/version/batch/standing_test.go
+++ b/internal/version/batch/standing_test.go
@@ -9,8 +9,8 @@
 )
 
 // setStanding sets the node's fitness.
-func (n *testNode) setStanding(standing Standing) {
-	n.jobs.options.Standing = func(time.Time) Standing { return standing }
+func (n *testNode) setStanding(standing Fitness) {
+	n.jobs.options.Standing = func(time.Time) Fitness { return standing }
 }
 
 // spread returns the spread part of a node's takeover delay.
@@ -23,18 +23,18 @@
 // fitter one, or run by an unfit one if there is no other.
 func TestUnfitNodesDoNotKeepJobs(t *testing.T) {
 	for _, c := range []struct {
-		accepts Standing
-		others  []Standing
+		accepts Fitness
+		others  []Fitness
 		// runs is the number of the node that runs the job; the accepting node is 0.
 		runs   int
 		within time.Duration
 	}{
-		{Usual, []Standing{Usual, Usual}, 0, 0},
-		{Ready, []Standing{Unready, Slow}, 0, 0},
-		{Slow, []Standing{Usual, Slow}, 1, 300 * time.Millisecond},
-		{Unready, []Standing{Slow, Ready}, 2, 300 * time.Millisecond},
-		{Unready, []Standing{Slow, Slow}, 0, 600 * time.Millisecond},
-		{Slow, []Standing{Unready, Slow}, 1, 600 * time.Millisecond},
+		{Usual, []Fitness{Usual, Usual}, 0, 0},
+		{Ready, []Fitness{Unready, Slow}, 0, 0},
+		{Slow, []Fitness{Usual, Slow}, 1, 300 * time.Millisecond},
+		{Unready, []Fitness{Slow, Ready}, 2, 300 * time.Millisecond},
+		{Unready, []Fitness{Slow, Slow}, 0, 600 * time.Millisecond},
+		{Slow, []Fitness{Unready, Slow}, 1, 600 * time.Millisecond},
 		{Slow, nil, 0, 1100 * time.Millisecond},
 	} {
 		store := newStore()
