--- a/internal/process/cluster/standing.go
+++ b/internal/process/cluster/standing.go
@@ -17,7 +17,7 @@
 	case share > 0 && share < slowShare:
 		return batch.Slow
 	case !n.listIsLarge():
-		return batch.Usual
+		return batch.Normal
 	case n.listsAll() && n.jobs.Owned() == 0 && !n.leads(now):
 		return batch.Ready
 	}
--- a/internal/version/batch/standing.go
+++ b/internal/version/batch/standing.go
@@ -13,8 +13,8 @@
 type Fitness int
 
 const (
-	// Usual is the standing of all nodes of a small deployment, except slow ones.
-	Usual Fitness = iota
+	// Normal is the standing of all nodes of a small deployment, except slow ones.
+	Normal Fitness = iota
 	// Ready nodes have the replica list of a large deployment loaded and own no job.
 	Ready
 	// Unready nodes would first have to load the replica list, or are busy.
@@ -33,7 +33,7 @@
 
 func (j *Jobs) standing(now time.Time) Fitness {
 	if j.options.Standing == nil {
-		return Usual
+		return Normal
 	}
 	return j.options.Standing(now)
 }
@@ -42,7 +42,7 @@
 // another node owns the model's other jobs.
 func (j *Jobs) keepsAcceptedJobs(now time.Time) bool {
 	switch j.standing(now) {
-	case Usual, Ready:
+	case Normal, Ready:
 		return true
 	case Unready, Slow:
 	}
@@ -55,7 +55,7 @@
 func (j *Jobs) takeoverDelay(now time.Time, id string, known *head) (spread, delay time.Duration) {
 	spreadOver := recordlease.SpreadOver(takeoverSpread, j.options.Nodes)
 	switch j.standing(now) {
-	case Usual:
+	case Normal:
 	case Ready:
 		spreadOver = takeoverSpread
 		if !j.ownedPreviousJob(known) {
--- a/internal/version/batch/standing_test.go
+++ b/internal/version/batch/standing_test.go
@@ -29,9 +29,9 @@
 		runs   int
 		within time.Duration
 	}{
-		{Usual, []Fitness{Usual, Usual}, 0, 0},
+		{Normal, []Fitness{Normal, Normal}, 0, 0},
 		{Ready, []Fitness{Unready, Slow}, 0, 0},
-		{Slow, []Fitness{Usual, Slow}, 1, 300 * time.Millisecond},
+		{Slow, []Fitness{Normal, Slow}, 1, 300 * time.Millisecond},
 		{Unready, []Fitness{Slow, Ready}, 2, 300 * time.Millisecond},
 		{Unready, []Fitness{Slow, Slow}, 0, 600 * time.Millisecond},
 		{Slow, []Fitness{Unready, Slow}, 1, 600 * time.Millisecond},
