--- a/internal/process/cluster/standing.go
+++ b/internal/process/cluster/standing.go
@@ -21,7 +21,7 @@
 	case n.listsAll() && n.jobs.Owned() == 0 && !n.leads(now):
 		return batch.Ready
 	}
-	return batch.Unready
+	return batch.NotReady
 }
 
 // listIsLarge reports whether there are more replicas than nodes follow without use for them.
--- a/internal/version/batch/standing.go
+++ b/internal/version/batch/standing.go
@@ -17,8 +17,8 @@
 	Normal Fitness = iota
 	// Ready nodes have the replica list of a large deployment loaded and own no job.
 	Ready
-	// Unready nodes would first have to load the replica list, or are busy.
-	Unready
+	// NotReady nodes would first have to load the replica list, or are busy.
+	NotReady
 	// Slow nodes have only a small share of a processor.
 	Slow
 )
@@ -44,7 +44,7 @@
 	switch j.standing(now) {
 	case Normal, Ready:
 		return true
-	case Unready, Slow:
+	case NotReady, Slow:
 	}
 	return false
 }
@@ -61,7 +61,7 @@
 		if !j.ownedPreviousJob(known) {
 			delay = readyDelay
 		}
-	case Unready:
+	case NotReady:
 		delay = unreadyDelay
 	case Slow:
 		delay = slowDelay
--- a/internal/version/batch/standing_test.go
+++ b/internal/version/batch/standing_test.go
@@ -30,11 +30,11 @@
 		within time.Duration
 	}{
 		{Normal, []Fitness{Normal, Normal}, 0, 0},
-		{Ready, []Fitness{Unready, Slow}, 0, 0},
+		{Ready, []Fitness{NotReady, Slow}, 0, 0},
 		{Slow, []Fitness{Normal, Slow}, 1, 300 * time.Millisecond},
-		{Unready, []Fitness{Slow, Ready}, 2, 300 * time.Millisecond},
-		{Unready, []Fitness{Slow, Slow}, 0, 600 * time.Millisecond},
-		{Slow, []Fitness{Unready, Slow}, 1, 600 * time.Millisecond},
+		{NotReady, []Fitness{Slow, Ready}, 2, 300 * time.Millisecond},
+		{NotReady, []Fitness{Slow, Slow}, 0, 600 * time.Millisecond},
+		{Slow, []Fitness{NotReady, Slow}, 1, 600 * time.Millisecond},
 		{Slow, nil, 0, 1100 * time.Millisecond},
 	} {
 		store := newStore()
