--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -107,8 +107,8 @@
 	Latency func() time.Duration
 	// Nodes returns the number of nodes, or 0 if unknown.
 	Nodes func() int
-	// Standing returns this node's fitness to run another job; nil if all nodes are equally fit.
-	Standing func(now time.Time) Fitness
+	// Fitness returns this node's fitness to run another job; nil if all nodes are equally fit.
+	Fitness func(now time.Time) Fitness
 	// Observed returns the time up to which the watch has delivered changes of head records.
 	Observed func(now time.Time) time.Time
 	// Clock returns the lower and upper bound of the store's monotonic clock; known is false
--- a/internal/version/batch/standing.go
+++ b/internal/version/batch/standing.go
@@ -32,10 +32,10 @@
 )
 
 func (j *Jobs) standing(now time.Time) Fitness {
-	if j.options.Standing == nil {
+	if j.options.Fitness == nil {
 		return Normal
 	}
-	return j.options.Standing(now)
+	return j.options.Fitness(now)
 }
 
 // keepsAcceptedJobs reports whether this node becomes the owner of jobs that it accepts, unless
--- a/internal/version/batch/standing_test.go
+++ b/internal/version/batch/standing_test.go
@@ -10,7 +10,7 @@
 
 // setStanding sets the node's fitness.
 func (n *testNode) setStanding(standing Fitness) {
-	n.jobs.options.Standing = func(time.Time) Fitness { return standing }
+	n.jobs.options.Fitness = func(time.Time) Fitness { return standing }
 }
 
 // spread returns the spread part of a node's takeover delay.
