--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -28,7 +28,7 @@
 	query := n.query(now, wanted.Route, wanted.Tenant)
 	query.Model, query.MinVersion = wanted.Model, wanted.MinVersion
 	query.Origin = wanted.Model
-	query.Look = wanted.Look
+	query.Look = wanted.DryRun
 	query.Prefer = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
 	query.Room, query.Paced = rolloutRoom, wanted.Paced
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -183,7 +183,7 @@
 		fast := n.endpoints.Find("fast")
 		fast.LearnPace(start, 50*time.Millisecond)
 		n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
-		wanted := batch.Placement{Route: route, Model: "m", MinVersion: 1, Long: true, Look: true}
+		wanted := batch.Placement{Route: route, Model: "m", MinVersion: 1, Long: true, DryRun: true}
 		c.bar(fast, &wanted)
 		if chosen := n.place(start.Add(time.Millisecond), wanted); chosen == nil || chosen.ID != c.want {
 			t.Errorf("%s: %v, should be %s", c.name, chosen, c.want)
@@ -206,7 +206,7 @@
 	ejected.Failed(start)
 	for look, want := range map[bool]string{true: "", false: "ejected"} {
 		got := ""
-		if chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Look: look}); chosen != nil {
+		if chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, DryRun: look}); chosen != nil {
 			got = chosen.ID
 		}
 		if got != want {
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -71,8 +71,8 @@
 	Paced bool
 	// Tokens is the memory that the item is expected to use on its replica.
 	Tokens int
-	// Look requests a dry run that sends nothing and reserves nothing.
-	Look bool
+	// DryRun requests a dry run that sends nothing and reserves nothing.
+	DryRun bool
 }
 
 // Options configure Jobs.
--- a/internal/version/batch/move_test.go
+++ b/internal/version/batch/move_test.go
@@ -100,7 +100,7 @@
 		return nil
 	}
 	runs[0].Progress(n.now, nil, 200*time.Millisecond)
-	if !wanted.Look || wanted.Tokens != 700 || !wanted.Exclude["taken"] {
+	if !wanted.DryRun || wanted.Tokens != 700 || !wanted.Exclude["taken"] {
 		t.Errorf("placement request %+v", wanted)
 	}
 }
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -153,7 +153,7 @@
 	}
 	better := o.jobs.options.Place(now, Placement{
 		Route: route, Tenant: o.job.Tenant, Model: o.job.Model, MinVersion: o.job.MinVersion, Avoid: it.endpoint, Exclude: o.isolationExcludes(it), Long: true, Paced: true,
-		Look: true, Tokens: it.reservation.tokens,
+		DryRun: true, Tokens: it.reservation.tokens,
 	})
 	if better == nil || better.Pace(now) == 0 {
 		return false
