--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -31,7 +31,7 @@
 	query.Look = wanted.DryRun
 	query.Prefer = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
-	query.Room, query.Paced = rolloutRoom, wanted.Paced
+	query.Room, query.Paced = rolloutRoom, wanted.PreferKnownPace
 	query.Exclude = excluded(wanted)
 	query.BestPace = n.bestPace(now, wanted.Route, query.Homes)
 	if wanted.Long {
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -100,7 +100,7 @@
 	n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
 	for _, paced := range []bool{false, true} {
 		want := map[bool]string{false: "unknown", true: "known"}[paced]
-		chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Paced: paced})
+		chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, PreferKnownPace: paced})
 		if chosen == nil || chosen.ID != want {
 			t.Errorf("paced %t: %v, should be %s", paced, chosen, want)
 		}
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -67,8 +67,8 @@
 	Exclude map[string]bool
 	// Long is set for items whose text is expected to determine when the job completes.
 	Long bool
-	// Paced asks for an endpoint with a known time per event, if there is one.
-	Paced bool
+	// PreferKnownPace asks for an endpoint with a known time per event, if there is one.
+	PreferKnownPace bool
 	// Tokens is the memory that the item is expected to use on its replica.
 	Tokens int
 	// DryRun requests a dry run that sends nothing and reserves nothing.
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -152,7 +152,7 @@
 		return false
 	}
 	better := o.jobs.options.Place(now, Placement{
-		Route: route, Tenant: o.job.Tenant, Model: o.job.Model, MinVersion: o.job.MinVersion, Avoid: it.endpoint, Exclude: o.isolationExcludes(it), Long: true, Paced: true,
+		Route: route, Tenant: o.job.Tenant, Model: o.job.Model, MinVersion: o.job.MinVersion, Avoid: it.endpoint, Exclude: o.isolationExcludes(it), Long: true, PreferKnownPace: true,
 		DryRun: true, Tokens: it.reservation.tokens,
 	})
 	if better == nil || better.Pace(now) == 0 {
