--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -90,8 +90,8 @@
 	PlaceScoring func(now time.Time, route *port.Route, tenant string, exclude map[string]bool) *endpoint.Endpoint
 	// LengthHint returns the expected number of tokens given in a request header, or 0.
 	LengthHint func(header http.Header) int
-	// MostEvents returns the maximum number of events of a request's text, or 0 if unknown.
-	MostEvents func(route *port.Route, header http.Header) int
+	// MaxEvents returns the maximum number of events of a request's text, or 0 if unknown.
+	MaxEvents func(route *port.Route, header http.Header) int
 	// ExpectedTokens returns the memory that a request is expected to use on its replica, given
 	// the number of events generated so far, or 0 if unknown.
 	ExpectedTokens func(route *port.Route, header http.Header, events int) int
--- a/internal/version/batch/forecast.go
+++ b/internal/version/batch/forecast.go
@@ -44,7 +44,7 @@
 // forecastItem returns the latest time at which an item's text is expected to be complete.
 func (o *ownedJob) forecastItem(now time.Time, index int, route *port.Route) (time.Time, bool) {
 	it := &o.items[index]
-	maxEvents := o.jobs.options.MostEvents(route, it.header)
+	maxEvents := o.jobs.options.MaxEvents(route, it.header)
 	if it.state == itemScoring {
 		return now, true
 	}
--- a/internal/version/batch/length.go
+++ b/internal/version/batch/length.go
@@ -179,7 +179,7 @@
 	}
 	longest := 0
 	for _, content := range job.Items {
-		longest = max(longest, j.options.MostEvents(route, itemHeader(content)))
+		longest = max(longest, j.options.MaxEvents(route, itemHeader(content)))
 	}
 	return longest
 }
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -77,7 +77,7 @@
 		Observed:       func(now time.Time) time.Time { return now.Add(-n.watchLag) },
 		LengthHint:     func(http.Header) int { return 0 },
 		ExpectedTokens: func(*port.Route, http.Header, int) int { return 0 },
-		MostEvents:     func(*port.Route, http.Header) int { return n.mostEvents },
+		MaxEvents:      func(*port.Route, http.Header) int { return n.mostEvents },
 		Clock: func(now time.Time) (time.Duration, time.Duration, bool) {
 			return now.Sub(epoch), now.Sub(epoch), n.clockKnown
 		},
