--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -95,8 +95,8 @@
 	// ExpectedTokens returns the memory that a request is expected to use on its replica, given
 	// the number of events generated so far, or 0 if unknown.
 	ExpectedTokens func(route *port.Route, header http.Header, events int) int
-	// Find returns a listed endpoint by ID, or nil.
-	Find func(id string) *endpoint.Endpoint
+	// FindEndpoint returns a listed endpoint by ID, or nil.
+	FindEndpoint func(id string) *endpoint.Endpoint
 	// Route returns the route of a host and path in the current configuration.
 	Route func(host, path string) *port.Route
 	// Homes determines the regions in which jobs may be stored and run.
--- a/internal/version/batch/listing.go
+++ b/internal/version/batch/listing.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		seen[id] = true
-		if known := o.jobs.options.Find(id); known != nil && known.Pace(now) > 0 {
+		if known := o.jobs.options.FindEndpoint(id); known != nil && known.Pace(now) > 0 {
 			list = append(list, &doorstepv1.ReplicaPace{Replica: id, Microseconds: int32(known.Pace(now).Microseconds())})
 		}
 	}
@@ -117,7 +117,7 @@
 // applyPaces applies the paces published by the owner of another job.
 func (j *Jobs) applyPaces(now time.Time, state *doorstepv1.BatchJobHead) {
 	for _, published := range state.Paces {
-		if known := j.options.Find(published.Replica); known != nil {
+		if known := j.options.FindEndpoint(published.Replica); known != nil {
 			known.HearPace(now, time.Duration(published.Microseconds)*time.Microsecond)
 		}
 	}
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -259,7 +259,7 @@
 // currentEndpoint returns the endpoint of an item's latest run, or nil if it is no longer
 // listed. A replica that restarted under the same ID is a different endpoint.
 func (o *ownedJob) currentEndpoint(it *item) *endpoint.Endpoint {
-	if it.reservation == nil || o.jobs.options.Find(it.endpoint) != it.reservation.endpoint {
+	if it.reservation == nil || o.jobs.options.FindEndpoint(it.endpoint) != it.reservation.endpoint {
 		return nil
 	}
 	return it.reservation.endpoint
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -66,7 +66,7 @@
 			}
 			return n.scorer
 		},
-		Find: func(string) *endpoint.Endpoint { return n.replica },
+		FindEndpoint: func(string) *endpoint.Endpoint { return n.replica },
 		Route: func(_, path string) *port.Route {
 			if path == scoringPath {
 				return n.scoringRoute
