--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -133,7 +133,7 @@
 		Self: options.Name, Incarnation: options.Incarnation, Topology: options.Topology, Queue: n.queue, Random: n.random,
 		Place: n.place, PlaceScoring: n.placeScoring, FindEndpoint: n.endpoints.Find, Route: n.Route, Clock: n.clock.bounds,
 		Latency: n.Latency, Nodes: n.Nodes, Fitness: n.standing,
-		LengthHint: options.Decoder.LengthHint, MaxEvents: n.mostEvents, ExpectedTokens: n.expectedTokens, Observed: n.observed,
+		LengthHint: options.Decoder.LengthHint, MaxEvents: n.mostEvents, ExpectedTokens: n.expectedTokens, ObservedUntil: n.observed,
 		Quarantine: n.quarantine, Homes: n.jobHomes(),
 	})
 	n.lease = n.newOrderLease()
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -109,8 +109,8 @@
 	Nodes func() int
 	// Fitness returns this node's fitness to run another job; nil if all nodes are equally fit.
 	Fitness func(now time.Time) Fitness
-	// Observed returns the time up to which the watch has delivered changes of head records.
-	Observed func(now time.Time) time.Time
+	// ObservedUntil returns the time up to which the watch has delivered changes of head records.
+	ObservedUntil func(now time.Time) time.Time
 	// Clock returns the lower and upper bound of the store's monotonic clock; known is false
 	// until the store first answers.
 	Clock func(now time.Time) (least, most time.Duration, known bool)
--- a/internal/version/batch/owner.go
+++ b/internal/version/batch/owner.go
@@ -112,7 +112,7 @@
 		return unchanged >= spread/2+delay
 	}
 	// Only the time during which the watch delivered changes counts.
-	observed := j.options.Observed(now)
+	observed := j.options.ObservedUntil(now)
 	return min(observed.Sub(known.changedAt), observed.Sub(j.observedSince)) >= takeoverTimeout+takeoverLatencyFactor*j.options.Latency()+spread+delay
 }
 
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -74,7 +74,7 @@
 			return n.route
 		},
 		Latency:        func() time.Duration { return n.latency },
-		Observed:       func(now time.Time) time.Time { return now.Add(-n.watchLag) },
+		ObservedUntil:  func(now time.Time) time.Time { return now.Add(-n.watchLag) },
 		LengthHint:     func(http.Header) int { return 0 },
 		ExpectedTokens: func(*port.Route, http.Header, int) int { return 0 },
 		MaxEvents:      func(*port.Route, http.Header) int { return n.mostEvents },
