--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -105,8 +105,8 @@
 	Quarantine *quarantine.Quarantine
 	// Latency returns the recent latency of store calls.
 	Latency func() time.Duration
-	// Nodes returns the number of nodes, or 0 if unknown.
-	Nodes func() int
+	// NodeCount returns the number of nodes, or 0 if unknown.
+	NodeCount func() int
 	// Fitness returns this node's fitness to run another job; nil if all nodes are equally fit.
 	Fitness func(now time.Time) Fitness
 	// ObservedUntil returns the time up to which the watch has delivered changes of head records.
--- a/internal/version/batch/owner_test.go
+++ b/internal/version/batch/owner_test.go
@@ -135,7 +135,7 @@
 		var spreads []time.Duration
 		for i := range c.nodes {
 			j := newTestNode(fmt.Sprintf("node-%d", i), newStore()).jobs
-			j.options.Nodes = func() int { return c.nodes }
+			j.options.NodeCount = func() int { return c.nodes }
 			spreads = append(spreads, j.spread("j"))
 		}
 		first, tries := slices.Min(spreads), 0
--- a/internal/version/batch/standing.go
+++ b/internal/version/batch/standing.go
@@ -53,7 +53,7 @@
 // responsive owner: a part spread by the number of nodes, and a fixed part by its
 // fitness.
 func (j *Jobs) takeoverDelay(now time.Time, id string, known *head) (spread, delay time.Duration) {
-	spreadOver := recordlease.SpreadOver(takeoverSpread, j.options.Nodes)
+	spreadOver := recordlease.SpreadOver(takeoverSpread, j.options.NodeCount)
 	switch j.standing(now) {
 	case Normal:
 	case Ready:
