--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -84,7 +84,7 @@
 	}
 	// Item expiry is based on the acceptance time, so a job is rejected until the store clock is
 	// known.
-	_, acceptedAt, known := j.options.Clock(now)
+	_, acceptedAt, known := j.options.StoreClock(now)
 	if !known {
 		j.logAcceptance(now, job, NotApplied, 0)
 		done(now, NotApplied)
@@ -136,7 +136,7 @@
 	if outcome != Applied {
 		number = event.JobRefused
 	}
-	least, most, _ := j.options.Clock(now)
+	least, most, _ := j.options.StoreClock(now)
 	j.options.Queue.Log(number, "job", job.Id, "outcome", int(outcome), "items", len(job.Items), "model", job.Model,
 		"min_version", job.MinVersion, "step", job.TrainingStep, "took_ms", took.Milliseconds(), "clock_known_to_ms", (most - least).Milliseconds())
 }
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -111,9 +111,9 @@
 	Fitness func(now time.Time) Fitness
 	// ObservedUntil returns the time up to which the watch has delivered changes of head records.
 	ObservedUntil func(now time.Time) time.Time
-	// Clock returns the lower and upper bound of the store's monotonic clock; known is false
+	// StoreClock returns the lower and upper bound of the store's monotonic clock; known is false
 	// until the store first answers.
-	Clock func(now time.Time) (least, most time.Duration, known bool)
+	StoreClock func(now time.Time) (least, most time.Duration, known bool)
 }
 
 // head is this node's view of a job's head record.
--- a/internal/version/batch/item.go
+++ b/internal/version/batch/item.go
@@ -137,7 +137,7 @@
 
 // age returns a lower bound of the time since a reading of the store clock.
 func (j *Jobs) age(now time.Time, writtenAtMs int64) time.Duration {
-	least, _, _ := j.options.Clock(now)
+	least, _, _ := j.options.StoreClock(now)
 	return least - time.Duration(writtenAtMs)*time.Millisecond
 }
 
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -78,7 +78,7 @@
 		LengthHint:     func(http.Header) int { return 0 },
 		ExpectedTokens: func(*port.Route, http.Header, int) int { return 0 },
 		MaxEvents:      func(*port.Route, http.Header) int { return n.mostEvents },
-		Clock: func(now time.Time) (time.Duration, time.Duration, bool) {
+		StoreClock: func(now time.Time) (time.Duration, time.Duration, bool) {
 			return now.Sub(epoch), now.Sub(epoch), n.clockKnown
 		},
 		Quarantine: quarantine.New(quarantine.Options{Self: self, Queue: n.queue, StoreClock: func(at time.Time) time.Duration { return at.Sub(epoch) }}),
