--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -132,7 +132,7 @@
 	n.jobs = batch.New(batch.Options{
 		Self: options.Name, Incarnation: options.Incarnation, Topology: options.Topology, Queue: n.queue, Random: n.random,
 		Place: n.place, PlaceScoring: n.placeScoring, FindEndpoint: n.endpoints.Find, Route: n.Route, StoreClock: n.clock.bounds,
-		Latency: n.Latency, NodeCount: n.Nodes, Fitness: n.standing,
+		StoreLatency: n.Latency, NodeCount: n.Nodes, Fitness: n.standing,
 		LengthHint: options.Decoder.LengthHint, MaxEvents: n.mostEvents, ExpectedTokens: n.expectedTokens, ObservedUntil: n.observed,
 		Quarantine: n.quarantine, Homes: n.jobHomes(),
 	})
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -103,8 +103,8 @@
 	Homes Homes
 	// Quarantine tracks requests that crash replicas.
 	Quarantine *quarantine.Quarantine
-	// Latency returns the recent latency of store calls.
-	Latency func() time.Duration
+	// StoreLatency returns the recent latency of store calls.
+	StoreLatency func() time.Duration
 	// NodeCount returns the number of nodes, or 0 if unknown.
 	NodeCount func() int
 	// Fitness returns this node's fitness to run another job; nil if all nodes are equally fit.
--- a/internal/version/batch/owner.go
+++ b/internal/version/batch/owner.go
@@ -113,7 +113,7 @@
 	}
 	// Only the time during which the watch delivered changes counts.
 	observed := j.options.ObservedUntil(now)
-	return min(observed.Sub(known.changedAt), observed.Sub(j.observedSince)) >= takeoverTimeout+takeoverLatencyFactor*j.options.Latency()+spread+delay
+	return min(observed.Sub(known.changedAt), observed.Sub(j.observedSince)) >= takeoverTimeout+takeoverLatencyFactor*j.options.StoreLatency()+spread+delay
 }
 
 func (j *Jobs) takeJob(now time.Time, id string, known *head) {
--- a/internal/version/batch/preference.go
+++ b/internal/version/batch/preference.go
@@ -17,7 +17,7 @@
 	if !j.options.Topology.Several() {
 		return 0
 	}
-	return j.options.Latency()
+	return j.options.StoreLatency()
 }
 
 // ownPlace returns this node's zone and store latency for publication in head records, or nil
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -73,7 +73,7 @@
 			}
 			return n.route
 		},
-		Latency:        func() time.Duration { return n.latency },
+		StoreLatency:   func() time.Duration { return n.latency },
 		ObservedUntil:  func(now time.Time) time.Time { return now.Add(-n.watchLag) },
 		LengthHint:     func(http.Header) int { return 0 },
 		ExpectedTokens: func(*port.Route, http.Header, int) int { return 0 },
