--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -39,7 +39,7 @@
 func (n *Node) jobHomes() batch.Homes {
 	return batch.Homes{
 		Of: n.Homes, Served: n.Served, Known: func() bool { return n.routes != nil },
-		Named: func(name string) *port.Route {
+		RouteByName: func(name string) *port.Route {
 			if n.routes == nil {
 				return nil
 			}
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -14,8 +14,8 @@
 type Homes struct {
 	// Of returns the home regions of a route's and a tenant's requests; the route may be nil.
 	Of func(route *port.Route, tenant string) port.Homes
-	// Named returns the route with the given name, or nil.
-	Named func(name string) *port.Route
+	// RouteByName returns the route with the given name, or nil.
+	RouteByName func(name string) *port.Route
 	// Known reports whether a configuration has been loaded; nil means always.
 	Known func() bool
 	// Served reports whether the home regions of a route's and a tenant's requests have a
@@ -33,8 +33,8 @@
 // ofHead returns the home regions of a job from its head record.
 func (h Homes) ofHead(head *doorstepv1.BatchJobHead) port.Homes {
 	var route *port.Route
-	if h.Named != nil && head.Route != "" {
-		route = h.Named(head.Route)
+	if h.RouteByName != nil && head.Route != "" {
+		route = h.RouteByName(head.Route)
 	}
 	return h.of(route, head.Tenant)
 }
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -16,7 +16,7 @@
 func newRegionalNode(self, region string, store *model.Records, homes ...string) *testNode {
 	n := newTestNode(self, store)
 	n.jobs.options.Topology = port.Topology{Zone: region, Region: region, Regions: map[string]string{"north": "north", "south": "south", "west": "west"}}
-	n.jobs.options.Homes = Homes{Named: func(string) *port.Route { return n.route }}
+	n.jobs.options.Homes = Homes{RouteByName: func(string) *port.Route { return n.route }}
 	n.setHomeRegions(homes...)
 	return n
 }
