--- a/internal/process/cluster/homes_test.go
+++ b/internal/process/cluster/homes_test.go
@@ -86,10 +86,10 @@
 // TestHomesAreKnownWithTheConfiguration: before that a node can't tell where jobs may be.
 func TestHomesAreKnownWithTheConfiguration(t *testing.T) {
 	n := New(start, Options{Name: "n", Incarnation: 1, Decoder: decoder{}, OrderPause: time.Second})
-	if n.jobHomes().Known() {
+	if n.jobHomes().ConfigurationLoaded() {
 		t.Error("known without a configuration")
 	}
-	if n, _ := homesNode(); !n.jobHomes().Known() {
+	if n, _ := homesNode(); !n.jobHomes().ConfigurationLoaded() {
 		t.Error("not known with one")
 	}
 }
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -16,8 +16,8 @@
 	Of func(route *port.Route, tenant string) port.Homes
 	// RouteByName returns the route with the given name, or nil.
 	RouteByName func(name string) *port.Route
-	// Known reports whether a configuration has been loaded; nil means always.
-	Known func() bool
+	// ConfigurationLoaded reports whether a configuration has been loaded; nil means always.
+	ConfigurationLoaded func() bool
 	// Served reports whether the home regions of a route's and a tenant's requests have a
 	// replica.
 	Served func(route *port.Route, tenant string) bool
@@ -43,7 +43,7 @@
 	return h.Served == nil || route == nil || h.Served(route, tenant)
 }
 
-func (h Homes) known() bool { return h.Known == nil || h.Known() }
+func (h Homes) known() bool { return h.ConfigurationLoaded == nil || h.ConfigurationLoaded() }
 
 // mayHold reports whether this node may hold a job's content, because it is in a home region or
 // in the region that accepted the job.
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -178,7 +178,7 @@
 		known := false
 		n := newRegionalNode("b", "south", store)
 		n.jobs.options.Incarnation = 2
-		n.jobs.options.Homes.Known = func() bool { return known }
+		n.jobs.options.Homes.ConfigurationLoaded = func() bool { return known }
 		n.now = former.now
 		syncHeads(n)
 		n.elapse(time.Second)
