--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -18,9 +18,9 @@
 	RouteByName func(name string) *port.Route
 	// ConfigurationLoaded reports whether a configuration has been loaded; nil means always.
 	ConfigurationLoaded func() bool
-	// Served reports whether the home regions of a route's and a tenant's requests have a
+	// HasReplica reports whether the home regions of a route's and a tenant's requests have a
 	// replica.
-	Served func(route *port.Route, tenant string) bool
+	HasReplica func(route *port.Route, tenant string) bool
 }
 
 func (h Homes) of(route *port.Route, tenant string) port.Homes {
@@ -40,7 +40,7 @@
 }
 
 func (h Homes) served(route *port.Route, tenant string) bool {
-	return h.Served == nil || route == nil || h.Served(route, tenant)
+	return h.HasReplica == nil || route == nil || h.HasReplica(route, tenant)
 }
 
 func (h Homes) known() bool { return h.ConfigurationLoaded == nil || h.ConfigurationLoaded() }
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -127,7 +127,7 @@
 func TestJobsWithoutReplicaAreRejected(t *testing.T) {
 	store := newStore()
 	n := newRegionalNode("a", "west", store, "north")
-	n.jobs.options.Homes.Served = func(*port.Route, string) bool { return false }
+	n.jobs.options.Homes.HasReplica = func(*port.Route, string) bool { return false }
 	got := Applied
 	n.jobs.Accept(n.now, newJob("j", 2), func(_ time.Time, outcome Outcome) { got = outcome })
 	n.runTasks()
