--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -38,7 +38,7 @@
 // jobHomes tells the batch jobs where they may be kept and run.
 func (n *Node) jobHomes() batch.Homes {
 	return batch.Homes{
-		Of: n.Homes, HasReplica: n.Served, ConfigurationLoaded: func() bool { return n.routes != nil },
+		RegionsOf: n.Homes, HasReplica: n.Served, ConfigurationLoaded: func() bool { return n.routes != nil },
 		RouteByName: func(name string) *port.Route {
 			if n.routes == nil {
 				return nil
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -12,8 +12,8 @@
 // Homes provides the home regions in which jobs must be stored and run, according to the
 // current configuration. The zero value allows any region.
 type Homes struct {
-	// Of returns the home regions of a route's and a tenant's requests; the route may be nil.
-	Of func(route *port.Route, tenant string) port.Homes
+	// RegionsOf returns the home regions of a route's and a tenant's requests; the route may be nil.
+	RegionsOf func(route *port.Route, tenant string) port.Homes
 	// RouteByName returns the route with the given name, or nil.
 	RouteByName func(name string) *port.Route
 	// ConfigurationLoaded reports whether a configuration has been loaded; nil means always.
@@ -24,10 +24,10 @@
 }
 
 func (h Homes) of(route *port.Route, tenant string) port.Homes {
-	if h.Of == nil {
+	if h.RegionsOf == nil {
 		return port.Homes{}
 	}
-	return h.Of(route, tenant)
+	return h.RegionsOf(route, tenant)
 }
 
 // ofHead returns the home regions of a job from its head record.
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -23,7 +23,7 @@
 
 // setHomeRegions changes the home regions in the node's configuration.
 func (n *testNode) setHomeRegions(homes ...string) {
-	n.jobs.options.Homes.Of = func(*port.Route, string) port.Homes { return port.NewHomes(homes) }
+	n.jobs.options.Homes.RegionsOf = func(*port.Route, string) port.Homes { return port.NewHomes(homes) }
 }
 
 // TestOwnersLieInHomes tests which nodes may own a job that was accepted in the west, once its
