--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -91,12 +91,12 @@
 		return
 	}
 	route := j.options.Route(job.Host, job.Path)
-	if !j.options.Homes.served(route, job.Tenant) {
+	if !j.options.Homes.hasReplica(route, job.Tenant) {
 		j.logAcceptance(now, job, NoReplica, 0)
 		done(now, NoReplica)
 		return
 	}
-	homes := j.options.Homes.of(route, job.Tenant)
+	homes := j.options.Homes.regionsOf(route, job.Tenant)
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(job)
 	if err != nil {
 		panic("encode batch job: " + err.Error())
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -71,7 +71,7 @@
 	PreferKnownPace bool
 	// Tokens is the memory that the item is expected to use on its replica.
 	Tokens int
-	// DryRun requests a dry run that sends nothing and reserves nothing.
+	// DryRun chooses an endpoint without sending or reserving anything.
 	DryRun bool
 }
 
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -92,7 +92,7 @@
 				return port.RecordResult{Status: status}, status != port.RecordDone && status != port.RecordConflict
 			}
 			if outcome, answered := n.accept(newJob("j", 1)); !answered || outcome != c.want {
-				t.Errorf("outcome %d, should be %d", outcome, c.want)
+				t.Errorf("outcome %d, want %d", outcome, c.want)
 			}
 		})
 	}
--- a/internal/version/batch/collect_test.go
+++ b/internal/version/batch/collect_test.go
@@ -47,10 +47,10 @@
 		neighbour := other.countRecords("j2")
 		other.collect(5 * collectInterval)
 		if kept := other.countRecords("j") > 0; kept != c.kept {
-			t.Errorf("%s: kept %t, should be %t", c.name, kept, c.kept)
+			t.Errorf("%s: kept %t, want %t", c.name, kept, c.kept)
 		}
 		if _, known := other.jobs.Lookup("j"); known != c.kept {
-			t.Errorf("%s: known %t, should be %t", c.name, known, c.kept)
+			t.Errorf("%s: known %t, want %t", c.name, known, c.kept)
 		}
 		if c.age < abandonedRetention && other.countRecords("j2") != neighbour {
 			t.Errorf("%s: another job's records were deleted", c.name)
@@ -90,11 +90,11 @@
 func TestPublishesPaces(t *testing.T) {
 	o := &ownedJob{startedAt: epoch}
 	for _, c := range []struct {
-		after time.Duration
-		tells bool
+		after     time.Duration
+		publishes bool
 	}{{0, true}, {pacePublishWindow - 1, true}, {pacePublishWindow, false}, {paceInterval - 1, false}, {paceInterval, true}, {5*paceInterval + pacePublishWindow, false}} {
-		if got := o.publishesPaces(epoch.Add(c.after)); got != c.tells {
-			t.Errorf("%s after the start: published %t, want %t", c.after, got, c.tells)
+		if got := o.publishesPaces(epoch.Add(c.after)); got != c.publishes {
+			t.Errorf("%s after the start: published %t, want %t", c.after, got, c.publishes)
 		}
 	}
 }
--- a/internal/version/batch/forecast_test.go
+++ b/internal/version/batch/forecast_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	n := newTestNode("a", newStore())
 	n.route.ResultDeadline = forecastDeadline
-	n.mostEvents = 140
+	n.maxEvents = 140
 	n.accept(newGroupedJob(4, desired))
 	n.elapse(200 * time.Millisecond)
 	n.now = epoch.Add(age)
@@ -59,7 +59,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n, runs := newProgressNode(t, c.desired, c.age)
-			n.mostEvents = c.most
+			n.maxEvents = c.most
 			for _, run := range runs {
 				item := 0
 				for i, batchItem := range n.jobs.owned["j"].job.Items {
--- a/internal/version/batch/length_test.go
+++ b/internal/version/batch/length_test.go
@@ -45,7 +45,7 @@
 	} {
 		got := newLengthHistory(c.texts).estimate(c.hint, c.made, c.most)
 		if got.known != c.want.known || math.Abs(got.probability-c.want.probability) > 1e-9 || math.Abs(got.meanRemaining-c.want.meanRemaining) > 1e-9 {
-			t.Errorf("%s: %+v, should be %+v", c.name, got, c.want)
+			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 // items, and the longest observed text once there are enough samples.
 func TestHeadLongestEvents(t *testing.T) {
 	n := newTestNode("a", newStore())
-	n.mostEvents = 140
+	n.maxEvents = 140
 	n.accept(newJob("j", minLengthSamples+1))
 	if got := n.jobs.LongestEvents(n.now)["m"]; got != 140 {
 		t.Errorf("longest text of a new job is %d events, want 140", got)
--- a/internal/version/batch/move_test.go
+++ b/internal/version/batch/move_test.go
@@ -40,7 +40,7 @@
 		{"no samples: degraded", 0, moveCandidate{pace: degraded, bestPace: fast, events: 3, runEvents: 3, timeLeft: 7 * time.Second, hasDeadline: true}, degradedReplica},
 	} {
 		if got := c.run.decide(newLengthHistory(c.texts)); got != c.want {
-			t.Errorf("%s: %q, should be %q", c.name, got, c.want)
+			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/version/batch/owner.go
+++ b/internal/version/batch/owner.go
@@ -169,7 +169,7 @@
 // nodes in its home regions don't have to wait for the takeover timeout.
 func (j *Jobs) relinquishJob(now time.Time, id string, known *head) {
 	known.mutating = true
-	homes := j.options.Homes.ofHead(known.BatchJobHead)
+	homes := j.options.Homes.regionsOfHead(known.BatchJobHead)
 	next := proto.Clone(known.BatchJobHead).(*doorstepv1.BatchJobHead)
 	next.Owner = ""
 	next.Beat++
--- a/internal/version/batch/owner_test.go
+++ b/internal/version/batch/owner_test.go
@@ -63,7 +63,7 @@
 			other.jobs.SetObserving(other.now, c.observes)
 			other.elapse(c.within)
 			if got := other.jobs.Owned() == 1; got != c.takes {
-				t.Errorf("taken %t, should be %t", got, c.takes)
+				t.Errorf("taken %t, want %t", got, c.takes)
 			}
 		})
 	}
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -23,27 +23,29 @@
 	HasReplica func(route *port.Route, tenant string) bool
 }
 
-func (h Homes) of(route *port.Route, tenant string) port.Homes {
+func (h Homes) regionsOf(route *port.Route, tenant string) port.Homes {
 	if h.RegionsOf == nil {
 		return port.Homes{}
 	}
 	return h.RegionsOf(route, tenant)
 }
 
-// ofHead returns the home regions of a job from its head record.
-func (h Homes) ofHead(head *doorstepv1.BatchJobHead) port.Homes {
+// regionsOfHead returns the home regions of a job from its head record.
+func (h Homes) regionsOfHead(head *doorstepv1.BatchJobHead) port.Homes {
 	var route *port.Route
 	if h.RouteByName != nil && head.Route != "" {
 		route = h.RouteByName(head.Route)
 	}
-	return h.of(route, head.Tenant)
+	return h.regionsOf(route, head.Tenant)
 }
 
-func (h Homes) served(route *port.Route, tenant string) bool {
+func (h Homes) hasReplica(route *port.Route, tenant string) bool {
 	return h.HasReplica == nil || route == nil || h.HasReplica(route, tenant)
 }
 
-func (h Homes) known() bool { return h.ConfigurationLoaded == nil || h.ConfigurationLoaded() }
+func (h Homes) configurationLoaded() bool {
+	return h.ConfigurationLoaded == nil || h.ConfigurationLoaded()
+}
 
 // mayHold reports whether this node may hold a job's content, because it is in a home region or
 // in the region that accepted the job.
@@ -81,10 +83,10 @@
 	if len(head.Regions) > 0 && (topology.Region == "" || !slices.Contains(head.Regions, topology.Region)) {
 		return false
 	}
-	if topology.Several() && !h.known() {
+	if topology.Several() && !h.configurationLoaded() {
 		return false
 	}
-	return j.mayHold(h.ofHead(head), head.AcceptedIn)
+	return j.mayHold(h.regionsOfHead(head), head.AcceptedIn)
 }
 
 // ownerWithin reports whether the owner of a job is known to be in one of the regions; nil
@@ -102,7 +104,7 @@
 }
 
 // homes returns the job's home regions in the current configuration.
-func (o *ownedJob) homes() port.Homes { return o.jobs.options.Homes.of(o.route(), o.job.Tenant) }
+func (o *ownedJob) homes() port.Homes { return o.jobs.options.Homes.regionsOf(o.route(), o.job.Tenant) }
 
 // enforceHomes hands the job over if a new configuration excludes this node's region, and logs
 // home regions without a replica.
@@ -117,7 +119,7 @@
 		o.release(now)
 		return
 	}
-	served := h.served(o.route(), o.job.Tenant)
+	served := h.hasReplica(o.route(), o.job.Tenant)
 	if !served && !o.noReplica {
 		o.jobs.options.Queue.Log(event.JobUnserved, "job", o.id, "homes", homes.Regions)
 	}
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -62,7 +62,7 @@
 		syncHeads(other)
 		other.elapse(takeoverTimeout + 2*takeoverSpread)
 		if got := other.jobs.Owned() == 1; got != c.takes {
-			t.Errorf("%s: taken %t, should be %t", c.name, got, c.takes)
+			t.Errorf("%s: taken %t, want %t", c.name, got, c.takes)
 		}
 	}
 }
--- a/internal/version/batch/standing.go
+++ b/internal/version/batch/standing.go
@@ -13,7 +13,7 @@
 type Fitness int
 
 const (
-	// Normal is the standing of all nodes of a small deployment, except slow ones.
+	// Normal is the fitness of all nodes of a small deployment, except slow ones.
 	Normal Fitness = iota
 	// Ready nodes have the replica list of a large deployment loaded and own no job.
 	Ready
@@ -31,7 +31,7 @@
 	slowDelay    = 800 * time.Millisecond
 )
 
-func (j *Jobs) standing(now time.Time) Fitness {
+func (j *Jobs) fitness(now time.Time) Fitness {
 	if j.options.Fitness == nil {
 		return Normal
 	}
@@ -41,7 +41,7 @@
 // keepsAcceptedJobs reports whether this node becomes the owner of jobs that it accepts, unless
 // another node owns the model's other jobs.
 func (j *Jobs) keepsAcceptedJobs(now time.Time) bool {
-	switch j.standing(now) {
+	switch j.fitness(now) {
 	case Normal, Ready:
 		return true
 	case NotReady, Slow:
@@ -54,7 +54,7 @@
 // fitness.
 func (j *Jobs) takeoverDelay(now time.Time, id string, known *head) (spread, delay time.Duration) {
 	spreadOver := recordlease.SpreadOver(takeoverSpread, j.options.NodeCount)
-	switch j.standing(now) {
+	switch j.fitness(now) {
 	case Normal:
 	case Ready:
 		spreadOver = takeoverSpread
--- a/internal/version/batch/standing_test.go
+++ b/internal/version/batch/standing_test.go
@@ -9,8 +9,8 @@
 )
 
 // setStanding sets the node's fitness.
-func (n *testNode) setStanding(standing Fitness) {
-	n.jobs.options.Fitness = func(time.Time) Fitness { return standing }
+func (n *testNode) setFitness(fitness Fitness) {
+	n.jobs.options.Fitness = func(time.Time) Fitness { return fitness }
 }
 
 // spread returns the spread part of a node's takeover delay.
@@ -39,10 +39,10 @@
 	} {
 		store := newStore()
 		nodes := []*testNode{newTestNode("node-0", store)}
-		nodes[0].setStanding(c.accepts)
-		for i, standing := range c.others {
+		nodes[0].setFitness(c.accepts)
+		for i, fitness := range c.others {
 			other := newTestNode(fmt.Sprintf("node-%d", i+1), store)
-			other.setStanding(standing)
+			other.setFitness(fitness)
 			nodes = append(nodes, other)
 		}
 		nodes[0].accept(newJob("j", 2))
@@ -65,7 +65,7 @@
 // replicas and their pace, takes over without a delay.
 func TestPreviousOwnerGoesFirst(t *testing.T) {
 	previous := newTestNode("b", newStore())
-	previous.setStanding(Ready)
+	previous.setFitness(Ready)
 	previous.jobs.setHead(previous.now, "before", &doorstepv1.BatchJobHead{Model: "m", Owner: "b", Ended: true, AcceptedAtMs: 1}, 1)
 	next := &head{BatchJobHead: &doorstepv1.BatchJobHead{Model: "m", AcceptedAtMs: 2}, revision: 2}
 	previous.jobs.heads["next"] = next
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -27,8 +27,8 @@
 	scoringRoute *port.Route
 	scorer       *endpoint.Endpoint
 	clockKnown   bool
-	// mostEvents is the maximum number of events of any text, or 0 if unknown.
-	mostEvents int
+	// maxEvents is the maximum number of events of any text, or 0 if unknown.
+	maxEvents int
 	// watchLag is how far the watch is behind.
 	watchLag time.Duration
 	latency  time.Duration
@@ -77,7 +77,7 @@
 		ObservedUntil:  func(now time.Time) time.Time { return now.Add(-n.watchLag) },
 		LengthHint:     func(http.Header) int { return 0 },
 		ExpectedTokens: func(*port.Route, http.Header, int) int { return 0 },
-		MaxEvents:      func(*port.Route, http.Header) int { return n.mostEvents },
+		MaxEvents:      func(*port.Route, http.Header) int { return n.maxEvents },
 		StoreClock: func(now time.Time) (time.Duration, time.Duration, bool) {
 			return now.Sub(epoch), now.Sub(epoch), n.clockKnown
 		},
