--- a/internal/version/batch/collect.go
+++ b/internal/version/batch/collect.go
@@ -18,8 +18,8 @@
 	abandonedRetention = 12 * time.Hour
 	// collectInterval is the minimum time between two deletions.
 	collectInterval = time.Second
-	// regionCollectSpread is the additional retention of jobs that the lease holder must not
-	// read. It spreads the nodes of the home regions over this time.
+	// regionCollectSpread is the maximum additional retention of region-bound jobs on nodes
+	// without the lease. It spreads the nodes over this time.
 	regionCollectSpread = 10 * time.Minute
 	// maxDeletesPerTransaction limits the records deleted by one transaction.
 	maxDeletesPerTransaction = 90
@@ -27,7 +27,7 @@
 
 // Collect deletes the records of one expired job at a time. Contents are deleted before the
 // head record, so that an interrupted deletion is resumed by any later lease holder. Nodes
-// without the lease delete jobs that its holder must not read.
+// without the lease delete region-bound jobs later, in case the lease holder must not read them.
 func (j *Jobs) Collect(now time.Time, holdsLease bool) {
 	if j.collecting || now.Before(j.collectAt) {
 		return
--- a/internal/version/batch/forecast_test.go
+++ b/internal/version/batch/forecast_test.go
@@ -37,8 +37,8 @@
 		name    string
 		age     time.Duration
 		desired int
-		// made returns the number of events of an item's text; -1 for a complete text.
-		made func(item int) int
+		// events returns the number of events of an item's text; -1 for a complete text.
+		events func(item int) int
 		// most is the maximum number of events, left the expected remaining time, or 0 if
 		// unknown.
 		most int
@@ -67,8 +67,8 @@
 						item = i
 					}
 				}
-				if made := c.made(item); made >= 0 {
-					n.reportProgress(run, made)
+				if events := c.events(item); events >= 0 {
+					n.reportProgress(run, events)
 				} else {
 					n.finish(run, task.RunCompleted, 2, 20)
 				}
@@ -89,7 +89,7 @@
 func TestHoldPastDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		made   int
+		events int
 		listed int
 	}{
 		{"complete shortly after the deadline", 131, 0},
@@ -100,7 +100,7 @@
 			for _, run := range runs[1:] {
 				n.finish(run, task.RunCompleted, 2, 20)
 			}
-			n.reportProgress(runs[0], c.made)
+			n.reportProgress(runs[0], c.events)
 			n.elapse(500 * time.Millisecond)
 			if got := len(n.results(t, "j")); got != c.listed {
 				t.Errorf("%d results listed shortly after the deadline, want %d", got, c.listed)
--- a/internal/version/batch/preference.go
+++ b/internal/version/batch/preference.go
@@ -7,8 +7,8 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// minLatencyGain is the minimum reduction of the store latency for which a job is assigned to
-// another node. Below it, the delay until that node has observed the job and read its content
+// minLatencyGain is the reduction of the store latency above which a job is assigned to another
+// node. Below it, the delay until that node has observed the job and read its content
 // outweighs the gain.
 const minLatencyGain = 100 * time.Millisecond
 
@@ -54,9 +54,9 @@
 }
 
 // closerOwner returns the active owner with the lowest store latency, including this node, if
-// it improves on the chosen owner by at least minLatencyGain, and the chosen owner otherwise.
-// Owners without a known place, and those that may lie outside the given regions, are not
-// considered; nil regions mean any.
+// it improves on the chosen owner by more than minLatencyGain, and the chosen owner otherwise.
+// A chosen owner without a known place is kept. Other owners without one, and those that may lie
+// outside the given regions, are not considered; nil regions mean any.
 func (j *Jobs) closerOwner(now time.Time, chosen ownerID, regions []string) ownerID {
 	place := j.placeOf(chosen)
 	if j.storeLatency() == 0 || place == nil || placeLatency(place) <= minLatencyGain {
--- a/internal/version/batch/pulse_test.go
+++ b/internal/version/batch/pulse_test.go
@@ -39,10 +39,10 @@
 	const due, tick = 7500 * time.Millisecond, 10 * time.Millisecond
 	for phase := time.Duration(0); phase < time.Second; phase += 50 * time.Millisecond {
 		for _, completeAfter := range []time.Duration{7900 * time.Millisecond, 8050 * time.Millisecond} {
-			client, p := pollingClient{startAt: epoch.Add(5*time.Second + phase)}, flushSchedule{}
+			client, schedule := pollingClient{startAt: epoch.Add(5*time.Second + phase)}, flushSchedule{}
 			for at := 5 * time.Second; at < completeAfter; at += tick {
 				now := epoch.Add(at)
-				client.step(now, at >= due-due/holdbackDivisor && p.next(now, epoch.Add(completeAfter), epoch.Add(due-releaseMargin)) != noFlush)
+				client.step(now, at >= due-due/holdbackDivisor && schedule.next(now, epoch.Add(completeAfter), epoch.Add(due-releaseMargin)) != noFlush)
 			}
 			if began := epoch.Add(completeAfter).Sub(client.startAt); !client.waiting || began < 450*time.Millisecond {
 				t.Errorf("phase %s, complete after %s: the last read started %s before (open %t)", phase, completeAfter, began, client.waiting)
@@ -55,9 +55,9 @@
 	const due = 7400 * time.Millisecond
 	at := func(d time.Duration) time.Time { return epoch.Add(d) }
 	for _, c := range []struct {
-		name             string
-		now, whole, last time.Duration
-		want             flush
+		name                  string
+		now, completeAt, last time.Duration
+		want                  flush
 	}{
 		{"the last flush before completion", 6200 * time.Millisecond, 7 * time.Second, 0, fullFlush},
 		{"the flush before the last", 5300 * time.Millisecond, 7 * time.Second, 0, partialFlush},
@@ -69,8 +69,8 @@
 		{"release time, long enough after the last flush", 7440 * time.Millisecond, 7900 * time.Millisecond, 6930 * time.Millisecond, fullFlush},
 		{"too soon after the last flush, as the forecast changed", 6200 * time.Millisecond, 7 * time.Second, 6100 * time.Millisecond, noFlush},
 	} {
-		p := flushSchedule{lastFlushAt: at(c.last)}
-		if got := p.next(at(c.now), at(c.whole), at(due)); got != c.want {
+		schedule := flushSchedule{lastFlushAt: at(c.last)}
+		if got := schedule.next(at(c.now), at(c.completeAt), at(due)); got != c.want {
 			t.Errorf("%s: flush %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -127,14 +127,14 @@
 // deadline are not held back.
 func TestEarlyJobsAreNotHeldBack(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		made, listed int
+		name           string
+		events, listed int
 	}{{"complete after 5.6 s", 110, 15}, {"complete after 7.5 s", 72, 0}} {
 		n, runs := newProgressNode(t, 4, 4100*time.Millisecond)
 		for _, run := range runs[1:] {
 			n.finish(run, task.RunCompleted, 2, 20)
 		}
-		n.reportProgress(runs[0], c.made)
+		n.reportProgress(runs[0], c.events)
 		n.elapse(200 * time.Millisecond)
 		if got := len(n.results(t, "j")); got != c.listed {
 			t.Errorf("%s: %d results listed, want %d", c.name, got, c.listed)
--- a/internal/version/batch/quarantine_test.go
+++ b/internal/version/batch/quarantine_test.go
@@ -20,20 +20,20 @@
 }
 
 func newReplicaSet(size int) *replicaSet {
-	f := &replicaSet{}
+	s := &replicaSet{}
 	for range size {
-		f.add()
+		s.add()
 	}
-	return f
+	return s
 }
 
-func (f *replicaSet) add() {
-	f.started++
-	f.endpoints = append(f.endpoints, &endpoint.Endpoint{ReplicaRecord: port.ReplicaRecord{ID: fmt.Sprint("life-", f.started), Service: "s", Slots: 100}})
+func (s *replicaSet) add() {
+	s.started++
+	s.endpoints = append(s.endpoints, &endpoint.Endpoint{ReplicaRecord: port.ReplicaRecord{ID: fmt.Sprint("life-", s.started), Service: "s", Slots: 100}})
 }
 
-func (f *replicaSet) place(wanted Placement) *endpoint.Endpoint {
-	for _, candidate := range f.endpoints {
+func (s *replicaSet) place(wanted Placement) *endpoint.Endpoint {
+	for _, candidate := range s.endpoints {
 		if candidate.ID != wanted.Avoid && !wanted.Exclude[candidate.ID] {
 			return candidate
 		}
@@ -42,13 +42,13 @@
 }
 
 // replace replaces a replica with a new one.
-func (f *replicaSet) replace(id string) {
-	for i, candidate := range f.endpoints {
+func (s *replicaSet) replace(id string) {
+	for i, candidate := range s.endpoints {
 		if candidate.ID == id {
-			f.endpoints = append(f.endpoints[:i:i], f.endpoints[i+1:]...)
+			s.endpoints = append(s.endpoints[:i:i], s.endpoints[i+1:]...)
 		}
 	}
-	f.add()
+	s.add()
 }
 
 // TestBystandersOfAPoisonItemAreNotHeld tests that items that share replicas with an item that
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -76,8 +76,8 @@
 }
 
 // mayOwn reports whether this node may read and run a job. Both the head record and the current
-// configuration must allow it, as either may be newer. A node that has not loaded its
-// configuration may not own any job.
+// configuration must allow it, as either may be newer. In a multi-region deployment, a node that
+// has not loaded its configuration may not own any job.
 func (j *Jobs) mayOwn(head *doorstepv1.BatchJobHead) bool {
 	h, topology := j.options.Homes, j.options.Topology
 	if len(head.Regions) > 0 && (topology.Region == "" || !slices.Contains(head.Regions, topology.Region)) {
