--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent runs a cluster.Node as a process: it serves requests, carries out the
-// node's tasks and drives its clock. It decides nothing that lasts.
+// Package agent runs a cluster.Node as a process: it serves requests, executes the node's
+// tasks and calls it periodically. It holds no durable state.
 package agent
 
 import (
@@ -28,23 +28,23 @@
 )
 
 const (
-	// tickEvery paces the node's clock.
-	tickEvery = 25 * time.Millisecond
-	// headerTimeout, idleTimeout and headerBytes bound what a connection may do before
-	// the configuration's own limits are known; these are applied to each request.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	headerBytes   = 64 << 10
-	// lastRequests is how long requests that run at the end of a planned stop may take.
-	lastRequests = 3 * time.Second
-	// pruneEvery paces the closing of idle connections to replicas.
-	pruneEvery = 2 * time.Second
+	// tickInterval is the period between calls to the node's Tick.
+	tickInterval = 25 * time.Millisecond
+	// headerTimeout, idleTimeout and maxHeaderBytes limit connections at the HTTP server. The
+	// configured limits are applied per request.
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	// shutdownTimeout bounds how long in-flight requests may take during a graceful shutdown.
+	shutdownTimeout = 3 * time.Second
+	// pruneInterval is the period between sweeps of idle replica connections.
+	pruneInterval = 2 * time.Second
 )
 
-// watchCall is the kind of a call that the store holds until something changes.
-const watchCall = "watch"
+// watchKind labels long-polling store calls, which are excluded from latency tracking.
+const watchKind = "watch"
 
-// Protocol is the form of the calls between clients, nodes and replicas.
+// Protocol encodes and decodes the messages between clients, nodes and replicas.
 type Protocol interface {
 	cluster.DeploymentDecoder
 	ReadinessPath() string
@@ -75,7 +75,7 @@
 	experiment.Targets
 }
 
-// Agent is one running node.
+// Agent is a running node.
 type Agent struct {
 	settings *settings.Settings
 	protocol Protocol
@@ -85,50 +85,50 @@
 	log      *eventLog
 	metrics  *metrics
 	base     context.Context
-	// steps answers trainers of experiments, by trainers.
-	steps    *experiment.Steps
-	trainers http.Handler
-	// clock gives the times that the node is called with. startedAt and clockAhead, in
-	// nanoseconds, give the record store's clock.
-	clock      *clock.Clock
-	startedAt  time.Time
-	clockAhead atomic.Int64
+	// steps implements the trainer API, which trainerMux routes to.
+	steps      *experiment.Steps
+	trainerMux http.Handler
+	// clock supplies the times passed to the node. startedAt plus storeClockOffset, in
+	// nanoseconds, maps it to the record store's clock.
+	clock            *clock.Clock
+	startedAt        time.Time
+	storeClockOffset atomic.Int64
 
 	mu   sync.Mutex
 	node *cluster.Node
-	// acts is the context of what only the holder of a lease may do: it ends when the machine was
-	// suspended, for suspended in all.
-	acts      context.Context
-	endActs   context.CancelFunc
-	suspended time.Duration
-	// runs cancels the runs and scoring calls of items under way, waiters are woken by
-	// changes of jobs.
-	runs    map[uint64]context.CancelFunc
-	waiters map[string]chan struct{}
-	// replicasKnown is closed once replicas were read, nil while no request waits for that.
+	// leaseContext covers calls that only a lease holder may make. It is cancelled when the
+	// machine resumes from suspension; totalSuspended is the time suspended so far.
+	leaseContext       context.Context
+	cancelLeaseContext context.CancelFunc
+	totalSuspended     time.Duration
+	// runCancels cancels in-flight item runs and scoring calls, by task ID. jobWaiters are
+	// closed when a job changes.
+	runCancels map[uint64]context.CancelFunc
+	jobWaiters map[string]chan struct{}
+	// replicasKnown is closed once replicas have been read; nil while no request waits for it.
 	replicasKnown chan struct{}
 }
 
-// Options configure an Agent.
+// Options configures an Agent.
 type Options struct {
 	Settings *settings.Settings
 	Protocol Protocol
 	Store    port.RecordStore
-	// Duties takes the calls that one node at a time may make, nil where there are none.
+	// Duties receives calls that only one node may make at a time; nil if there are none.
 	Duties port.DutyService
 	Log    hclog.Logger
-	// Incarnation differs from that of any other life of this node.
+	// Incarnation is unique to each start of this node.
 	Incarnation uint64
-	// Clock is where the node's clock reads the time, the machine's own if it is the zero value.
+	// Clock is the time source; the zero value selects the system clock.
 	Clock clock.Source
-	// Reload is told when the settings are to be read again.
+	// Reload signals that the settings should be read again.
 	Reload <-chan struct{}
-	// ReadSettings reads them.
+	// ReadSettings loads the settings.
 	ReadSettings func() (*settings.Settings, error)
 }
 
-// Run serves until the context ends, and then stops in the planned way. A second
-// context, hurry, ends it at once.
+// Run serves until ctx ends and then shuts down gracefully. Cancelling hurry stops it
+// immediately.
 func Run(ctx, hurry context.Context, options Options) error {
 	requests, err := net.Listen("tcp", options.Settings.Listen.Requests)
 	if err != nil {
@@ -139,8 +139,8 @@
 		_ = requests.Close()
 		return oops.Code("listen_readiness").With("address", options.Settings.Listen.Readiness).Wrapf(err, "listening for readiness")
 	}
-	serving, end := context.WithCancel(hurry)
-	defer end()
+	serving, stopServing := context.WithCancel(hurry)
+	defer stopServing()
 	a := newAgent(serving, options)
 	go a.log.run(serving)
 	server := a.newServer(http.HandlerFunc(a.serve))
@@ -150,10 +150,10 @@
 	a.serveMetrics(serving)
 	a.loop(ctx, serving, options)
 	if hurry.Err() == nil {
-		leaving, cancel := context.WithTimeout(hurry, lastRequests)
+		shutdown, cancel := context.WithTimeout(hurry, shutdownTimeout)
 		defer cancel()
-		_ = server.Shutdown(leaving)
-		_ = probes.Shutdown(leaving)
+		_ = server.Shutdown(shutdown)
+		_ = probes.Shutdown(shutdown)
 	}
 	a.log.add(event.ProcessStopped, "node", options.Settings.Name)
 	a.log.drain()
@@ -167,43 +167,43 @@
 	a := &Agent{
 		clock:    clock.New(options.Clock),
 		settings: options.Settings, protocol: options.Protocol, store: options.Store, upstream: upstream.New(), base: base,
-		duties: newDutyCaller(options), runs: map[uint64]context.CancelFunc{}, waiters: map[string]chan struct{}{},
+		duties: newDutyCaller(options), runCancels: map[uint64]context.CancelFunc{}, jobWaiters: map[string]chan struct{}{},
 	}
 	a.startedAt = a.clock.Now()
-	a.acts, a.endActs = context.WithCancel(base)
-	a.log = newEventLog(options.Log, func() time.Duration { return time.Duration(a.clockAhead.Load()) + a.since(a.startedAt) })
+	a.leaseContext, a.cancelLeaseContext = context.WithCancel(base)
+	a.log = newEventLog(options.Log, func() time.Duration { return time.Duration(a.storeClockOffset.Load()) + a.since(a.startedAt) })
 	a.metrics = newMetrics(a)
-	a.spanRegions()
+	a.configureRegions()
 	a.steps = a.newSteps()
-	a.trainers = a.newTrainerMux()
+	a.trainerMux = a.newTrainerMux()
 	a.node = cluster.New(a.startedAt, cluster.Options{
 		Name: options.Settings.Name, Topology: options.Settings.Topology(), Cold: options.Settings.Cold, Incarnation: options.Incarnation, Decoder: options.Protocol,
-		OrderPause: options.Settings.Orders.Pause(), Duties: dutiesOf(options.Settings),
+		OrderPause: options.Settings.Orders.Pause(), Duties: dutiesFromSettings(options.Settings),
 		WallAhead: func() time.Duration { return -a.clock.Suspended() }, LargeList: options.Settings.Store.LargeList,
 		ProcessorShare: options.Settings.Processor.Share,
 	})
 	return a
 }
 
-// since returns how long ago a time of the clock was.
+// since returns the time elapsed on the agent's clock since then.
 func (a *Agent) since(then time.Time) time.Duration { return a.clock.Now().Sub(then) }
 
 func (a *Agent) newServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes,
-		ErrorLog: a.log.standard(),
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: a.log.discardLogger(),
 	}
 }
 
-// loop drives the node until the planned stop is complete.
+// loop drives the node until its graceful shutdown is complete.
 func (a *Agent) loop(ctx, serving context.Context, options Options) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	prune := time.NewTicker(pruneEvery)
+	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
 	stopping := ctx.Done()
 	for {
-		left := false
+		finished := false
 		select {
 		case <-serving.Done():
 			return
@@ -217,17 +217,17 @@
 		case <-ticker.C:
 			a.do(func(now time.Time) {
 				a.node.Tick(now)
-				left = a.node.MayLeave(now)
+				finished = a.node.MayLeave(now)
 			})
 		}
-		if left {
+		if finished {
 			return
 		}
 	}
 }
 
-// reload reads the settings again. What they hold takes effect at a start; a file that
-// differs is told of in the log.
+// reload reads the settings again and logs whether they differ from those in use. Changes
+// take effect at the next start.
 func (a *Agent) reload(options Options) {
 	read, err := options.ReadSettings()
 	if err != nil {
@@ -237,58 +237,58 @@
 	a.log.add(event.SettingsReloaded, "differs", !reflect.DeepEqual(read, options.Settings))
 }
 
-// do calls the node under the lock and starts the tasks that it leaves. Starting a
+// do calls the node while holding the lock and starts the tasks that it queued. Starting a
 // task never blocks.
 func (a *Agent) do(call func(now time.Time)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now, suspended := a.clock.Read()
-	if suspended > a.suspended {
-		a.resume(suspended)
+	if suspended > a.totalSuspended {
+		a.handleResume(suspended)
 	}
 	call(now)
-	for _, one := range a.node.Take() {
-		a.start(one)
+	for _, next := range a.node.Take() {
+		a.start(next)
 	}
 }
 
-// start starts one task; its outcome comes back through do.
-func (a *Agent) start(one task.Task) {
-	switch t := one.(type) {
+// start starts a task, which reports its result through do.
+func (a *Agent) start(next task.Task) {
+	switch t := next.(type) {
 	case task.Commit:
-		go a.finishRecord("commit", t.Done, func() port.RecordResult { return a.store.Commit(a.base, t.Transaction) })
+		go a.callStore("commit", t.Done, func() port.RecordResult { return a.store.Commit(a.base, t.Transaction) })
 	case task.Range:
-		go a.finishRecord("range", t.Done, func() port.RecordResult { return a.store.Range(a.base, t.Query) })
+		go a.callStore("range", t.Done, func() port.RecordResult { return a.store.Range(a.base, t.Query) })
 	case task.Watch:
-		go a.finishRecord(watchCall, t.Done, func() port.RecordResult { return a.store.Watch(a.base, t.Table, t.After, t.Wait) })
+		go a.callStore(watchKind, t.Done, func() port.RecordResult { return a.store.Watch(a.base, t.Table, t.After, t.Wait) })
 	case task.Run:
-		a.noteSent(sentItem, t.Replica)
+		a.countCrossRegion(sentItem, t.Replica)
 		running, cancel := context.WithCancel(a.base)
-		a.runs[t.ID] = cancel
+		a.runCancels[t.ID] = cancel
 		go a.run(running, t)
 	case task.ScoringCall:
-		a.noteSent(sentScoring, t.Replica)
+		a.countCrossRegion(sentScoring, t.Replica)
 		calling, cancel := context.WithTimeout(a.base, t.Limit)
-		a.runs[t.ID] = cancel
+		a.runCancels[t.ID] = cancel
 		go a.callScoring(calling, t)
 	case task.StopRun:
-		if cancel := a.runs[t.ID]; cancel != nil {
+		if cancel := a.runCancels[t.ID]; cancel != nil {
 			cancel()
 		}
 	case task.Order:
-		go a.order(a.acts, t)
+		go a.order(a.leaseContext, t)
 	case task.Report:
 		go a.report(t)
 	case task.ReportUsage:
-		go a.reportUsage(a.acts, t)
+		go a.reportUsage(a.leaseContext, t)
 	case task.OrderReplicas:
-		go a.orderReplicas(a.acts, t)
+		go a.orderReplicas(a.leaseContext, t)
 	case task.Later:
 		time.AfterFunc(t.After, func() { a.do(t.Do) })
 	case task.Wake:
-		if waiter := a.waiters[t.Job]; waiter != nil {
+		if waiter := a.jobWaiters[t.Job]; waiter != nil {
 			close(waiter)
-			delete(a.waiters, t.Job)
+			delete(a.jobWaiters, t.Job)
 		}
 	case task.ReplicasKnown:
 		if a.replicasKnown != nil {
@@ -302,17 +302,17 @@
 	}
 }
 
-func (a *Agent) finishRecord(kind string, done func(now time.Time, result port.RecordResult), call func() port.RecordResult) {
+func (a *Agent) callStore(kind string, done func(now time.Time, result port.RecordResult), call func() port.RecordResult) {
 	startedAt := a.clock.Now()
 	result := call()
 	a.metrics.storeCall(kind, result.Status, a.since(startedAt))
 	a.do(func(now time.Time) {
-		if kind != watchCall {
+		if kind != watchKind {
 			a.node.NoteLatency(now.Sub(startedAt))
 		}
 		if result.Clock > 0 {
 			a.node.NoteClock(now, startedAt, result.Clock)
-			a.clockAhead.Store(int64(a.node.StoreClock(a.startedAt)))
+			a.storeClockOffset.Store(int64(a.node.StoreClock(a.startedAt)))
 		}
 		done(now, result)
 	})
--- a/internal/process/agent/cold.go
+++ b/internal/process/agent/cold.go
@@ -9,64 +9,66 @@
 )
 
 const (
-	// reasonCold refuses a request for which there are only cold replicas, which bear no more now.
+	// reasonCold is reported when only cold replicas are available and none has capacity.
 	reasonCold = "replicas are cold"
-	// coldWait bounds the wait for a claim of a cold replica: some calls to the store of 4 ms.
-	coldWait = 100 * time.Millisecond
-	// leastComeBack and mostComeBack bound when a caller is told to come back.
-	leastComeBack = 50 * time.Millisecond
-	mostComeBack  = 2 * time.Second
+	// coldClaimTimeout bounds the wait for a claim on a cold replica, which takes several
+	// store calls.
+	coldClaimTimeout = 100 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the Retry-After value of a cold refusal.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// chooseCold has a cold replica claimed for the next attempt, nil if none can be had within coldWait.
+// chooseCold claims a cold replica for the next attempt. It returns nil if no claim succeeds within
+// coldClaimTimeout.
 func (x *exchange) chooseCold() *endpoint.Endpoint {
 	var chosen *endpoint.Endpoint
-	left := false
+	abandoned := false
 	done := make(chan struct{})
 	claimed := false
 	x.agent.do(func(now time.Time) {
 		claimed = x.agent.node.ClaimCold(now, x.route, x.caller.Tenant, x.agent.protocol.Model(x.request.Header), x.exclude,
-			func() bool { return !left && x.request.Context().Err() == nil },
-			func(now time.Time, found *endpoint.Endpoint, comeBack time.Duration) {
-				if left {
+			func() bool { return !abandoned && x.request.Context().Err() == nil },
+			func(now time.Time, found *endpoint.Endpoint, retryAfter time.Duration) {
+				if abandoned {
 					return
 				}
 				chosen = found
-				x.noteChosen(now, chosen)
-				x.comeBack = min(max(comeBack, leastComeBack), mostComeBack)
+				x.recordChoice(now, chosen)
+				x.retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
 				close(done)
 			})
 	})
 	if !claimed {
 		return nil
 	}
-	timer := time.NewTimer(coldWait)
+	timer := time.NewTimer(coldClaimTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
 	case <-timer.C:
 	}
 	x.agent.do(func(time.Time) {
-		left = true
-		if chosen == nil && x.comeBack == 0 {
-			x.comeBack = comeBack
+		abandoned = true
+		if chosen == nil && x.retryAfter == 0 {
+			x.retryAfter = defaultRetryAfter
 		}
 	})
 	return chosen
 }
 
-// coldRefusal tells in a refusal that nothing but cold replicas was the reason, with when one may be had.
+// coldRefusal adds the reason and Retry-After to a decision that failed only for lack of a warm replica.
 func (x *exchange) coldRefusal(decision relay.Decision) relay.Decision {
-	if x.comeBack > 0 && x.launched == 0 && decision.Status == http.StatusServiceUnavailable {
-		decision.RetryAfter, decision.Reason = x.comeBack.Round(time.Millisecond), reasonCold
+	if x.retryAfter > 0 && x.launched == 0 && decision.Status == http.StatusServiceUnavailable {
+		decision.RetryAfter, decision.Reason = x.retryAfter.Round(time.Millisecond), reasonCold
 	}
 	return decision
 }
 
-// lateAfter returns a check of whether a time has passed, nil for the zero time.
-func (a *Agent) lateAfter(by time.Time) func() bool {
-	if by.IsZero() {
+// pastDeadline returns a function that reports whether the deadline has passed; nil for the zero time.
+func (a *Agent) pastDeadline(deadline time.Time) func() bool {
+	if deadline.IsZero() {
 		return nil
 	}
-	return func() bool { return a.clock.Now().After(by) }
+	return func() bool { return a.clock.Now().After(deadline) }
 }
--- a/internal/process/agent/duties.go
+++ b/internal/process/agent/duties.go
@@ -13,11 +13,11 @@
 	"github.com/doorstep/doorstep/internal/version/usage"
 )
 
-// dutyShare is the part of the platform's budget of calls that one node takes: while a duty
-// changes hands, two nodes may call.
-const dutyShare = 0.5
+// dutyRateShare is the fraction of the platform's call rate that one node uses. Two nodes may
+// call at once while a duty changes hands.
+const dutyRateShare = 0.5
 
-// dutyCaller makes the calls that one node at a time may make, within the platform's budget.
+// dutyCaller makes duty calls, rate-limited to this node's share.
 type dutyCaller struct {
 	service port.DutyService
 	limit   *rate.Limiter
@@ -27,21 +27,21 @@
 	if options.Duties == nil {
 		return nil
 	}
-	perSecond := dutyShare * options.Settings.Duties.CallsPerSecond
+	perSecond := dutyRateShare * options.Settings.Duties.CallsPerSecond
 	return &dutyCaller{service: options.Duties, limit: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
 }
 
-// dutiesOf returns the duties that the settings name.
-func dutiesOf(from *settings.Settings) cluster.Duties {
-	duties := cluster.Duties{Fenced: from.Duties.Fenced}
-	duties.Scaling = from.Duties.Has(settings.DutyScaling)
-	if window := settings.Seconds(from.Duties.UsageWindowS); from.Duties.Has(settings.DutyUsage) && window > 0 {
-		duties.Usage = &usage.Windows{Length: window, Late: settings.Seconds(from.Duties.UsageLateS)}
+// dutiesFromSettings returns the duties enabled in the settings.
+func dutiesFromSettings(s *settings.Settings) cluster.Duties {
+	duties := cluster.Duties{Fenced: s.Duties.Fenced}
+	duties.Scaling = s.Duties.Has(settings.DutyScaling)
+	if window := settings.Seconds(s.Duties.UsageWindowS); s.Duties.Has(settings.DutyUsage) && window > 0 {
+		duties.Usage = &usage.Windows{Length: window, Late: settings.Seconds(s.Duties.UsageLateS)}
 	}
 	return duties
 }
 
-// call makes a call once the budget allows it. What can't be sent within the limit is not sent:
+// call waits for the rate limiter and makes the call. It gives up once limit has elapsed, because
 // another node may hold the duty by then.
 func (d *dutyCaller) call(base context.Context, limit time.Duration, call func(ctx context.Context) port.DutyStatus) port.DutyStatus {
 	ctx, cancel := context.WithTimeout(base, limit)
--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -19,16 +19,16 @@
 	"github.com/doorstep/doorstep/internal/request/relay"
 )
 
-// answerBytes bounds an answer that is held whole.
-const answerBytes = 64 << 20
+// maxResponseBytes bounds a buffered response.
+const maxResponseBytes = 64 << 20
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders are the hop-by-hop headers, which are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// attempt is one try of a request at a replica.
+// attempt is the result of sending a request to one replica.
 type attempt struct {
 	endpoint *endpoint.Endpoint
 	outcome  relay.Outcome
@@ -36,11 +36,11 @@
 	header   http.Header
 	body     []byte
 	err      error
-	// crashed says that the replica was gone right after the attempt broke.
+	// crashed reports that the replica stopped listening right after the attempt broke.
 	crashed bool
 }
 
-// exchange is one caller's request on its way.
+// exchange is a client request in progress.
 type exchange struct {
 	agent   *Agent
 	request *http.Request
@@ -48,51 +48,50 @@
 	caller  access.Caller
 	id      string
 	body    []byte
-	// asked is what the request asks for, the same for each repeat of it.
-	asked quarantine.Request
-	// onTrial says that the request may be sent to one replica, though it crashed others.
+	// identity identifies the request to the quarantine; it is the same for each retry.
+	identity quarantine.Request
+	// onTrial permits a quarantined request to be sent to one replica.
 	onTrial bool
 	relay   *relay.Relay
 	exclude map[string]bool
-	// tried names the replicas with the load that was known of them.
+	// tried lists the replicas attempted, with their known load.
 	tried []string
-	// sendBy is until when the attempt must be sent that was chosen last, zero for any time; comeBack
-	// is when a cold replica may be had, 0 if none was the reason that there is no replica.
-	sendBy   time.Time
-	comeBack time.Duration
-	attempts chan *attempt
-	launched int
-	started  time.Time
+	// sendBy is the deadline for sending the latest attempt; zero for none. retryAfter is when a cold
+	// replica may become available; 0 if cold replicas did not prevent an attempt.
+	sendBy     time.Time
+	retryAfter time.Duration
+	attempts   chan *attempt
+	launched   int
+	started    time.Time
 }
 
-func (a *Agent) newExchange(r *http.Request, route *port.Route, who access.Caller, id string, body []byte) *exchange {
+func (a *Agent) newExchange(r *http.Request, route *port.Route, caller access.Caller, id string, body []byte) *exchange {
 	now := time.Now()
-	wait, _ := a.protocol.Deadline(r.Header)
-	call := quarantine.Call{Method: r.Method, Host: r.Host, Target: target(r), Tenant: who.Tenant, Body: body}
+	timeout, _ := a.protocol.Deadline(r.Header)
+	call := quarantine.Call{Method: r.Method, Host: r.Host, Target: target(r), Tenant: caller.Tenant, Body: body}
 	return &exchange{
-		agent: a, request: r, route: route, caller: who, id: id, body: body, relay: relay.New(now, route, wait),
-		asked:   quarantine.Request{Fingerprint: call.Fingerprint(), Route: route.Name, Tenant: who.Tenant},
-		exclude: map[string]bool{}, attempts: make(chan *attempt, max(route.MaxAttempts, 1)), started: a.clock.Now(),
+		agent: a, request: r, route: route, caller: caller, id: id, body: body, relay: relay.New(now, route, timeout),
+		identity: quarantine.Request{Fingerprint: call.Fingerprint(), Route: route.Name, Tenant: caller.Tenant},
+		exclude:  map[string]bool{}, attempts: make(chan *attempt, max(route.MaxAttempts, 1)), started: a.clock.Now(),
 	}
 }
 
-// choose chooses a replica for the next attempt, nil if there is none. Where more are being read than are
-// known, as none of those may be used, a request with no attempt under way waits for them: another service
-// than that of the last requests was asked for, or all that were known have failed.
+// choose returns a replica for the next attempt, or nil if there is none. A request with no attempt in
+// flight waits while more replicas are being read and none of the known ones is usable.
 func (x *exchange) choose() *endpoint.Endpoint {
 	chosen, quarantined, more := x.chooseKnown()
 	for chosen == nil && more != nil && x.agent.awaitReplicas(x.request.Context(), more) {
 		chosen, quarantined, more = x.chooseKnown()
 	}
 	if chosen == nil && !quarantined && !x.relay.Pending() {
-		// A second replica for a request that is slow at the first is not worth the wait for a claim.
+		// A hedged attempt does not wait for a claim on a cold replica.
 		return x.chooseCold()
 	}
 	return chosen
 }
 
-// chooseKnown chooses among the replicas that are known. more is closed once more of them are, and nil if
-// that is not worth a wait.
+// chooseKnown chooses among the known replicas. more is closed once further replicas have been read; nil
+// if the caller should not wait for them.
 func (x *exchange) chooseKnown() (chosen *endpoint.Endpoint, quarantined bool, more <-chan struct{}) {
 	x.agent.do(func(now time.Time) {
 		quarantined = x.quarantined(now)
@@ -100,19 +99,19 @@
 			return
 		}
 		chosen = x.agent.node.Choose(now, x.route, x.caller.Tenant, x.agent.protocol.Model(x.request.Header), x.exclude)
-		x.noteChosen(now, chosen)
+		x.recordChoice(now, chosen)
 		if chosen == nil && x.agent.node.AllEvacuated(x.route, x.caller.Tenant) {
 			x.relay.Evacuated()
 		}
 		if chosen == nil && !x.relay.Pending() && x.agent.node.MoreReplicasAwaited() {
-			more = x.agent.untilReplicasKnown()
+			more = x.agent.replicasKnownChannel()
 		}
 	})
 	return chosen, quarantined, more
 }
 
-// noteChosen notes the replica that the next attempt goes to, if there is one.
-func (x *exchange) noteChosen(now time.Time, chosen *endpoint.Endpoint) {
+// recordChoice records the replica chosen for the next attempt, if any.
+func (x *exchange) recordChoice(now time.Time, chosen *endpoint.Endpoint) {
 	if chosen == nil {
 		return
 	}
@@ -120,11 +119,11 @@
 	chosen.UsedAt = now
 	x.sendBy = chosen.SendBy
 	x.exclude[chosen.ID] = true
-	x.agent.noteSent(sentRequest, chosen.ID)
+	x.agent.countCrossRegion(sentRequest, chosen.ID)
 	x.tried = append(x.tried, fmt.Sprintf("%s(load %d)", chosen.ID, chosen.Load(now)))
 }
 
-// wait returns the attempt that ended, or nil at the time given.
+// wait returns the next attempt to end, or nil if none does by until or before ctx ends.
 func (x *exchange) wait(ctx context.Context, until time.Time) *attempt {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -133,7 +132,7 @@
 		x.relay.Ended(ended.outcome)
 		if ended.outcome != relay.Answered && ended.outcome != relay.Errored {
 			x.agent.log.add(event.AttemptEnded, "request", x.id, "replica", ended.endpoint.ID, "status", ended.status, "outcome", int(ended.outcome),
-				"error", errorText(ended.err), "fingerprint", x.asked.Fingerprint.String(), "crashed", ended.crashed)
+				"error", errorText(ended.err), "fingerprint", x.identity.Fingerprint.String(), "crashed", ended.crashed)
 		}
 		return ended
 	case <-timer.C:
@@ -149,7 +148,7 @@
 	return err.Error()
 }
 
-// try sends the request to a replica and reads the whole answer.
+// try sends the request to a replica and reads the full response.
 func (x *exchange) try(ctx context.Context, chosen *endpoint.Endpoint, call *upstream.Call) *attempt {
 	startedAt := x.agent.clock.Now()
 	ended := x.send(ctx, chosen, call)
@@ -160,32 +159,31 @@
 		if running, waiting, _, ok := x.agent.protocol.Load(ended.header); ok {
 			chosen.LearnLoad(now, running, waiting)
 		}
-		x.account(now, ended, now.Sub(startedAt), ctx.Err() != nil)
-		x.noteRun(now, ended)
-		x.count(now, startedAt, ended.outcome)
+		x.recordAttempt(now, ended, now.Sub(startedAt), ctx.Err() != nil)
+		x.reportToQuarantine(now, ended)
+		x.countRequest(now, startedAt, ended.outcome)
 	})
 	return ended
 }
 
-// count counts a request for its tenant, as of when it was sent, if it began to run as far as
-// this node can tell: one that was sent and not turned away did. On its way and in a replica's
-// queue it spends milliseconds.
-func (x *exchange) count(now, sentAt time.Time, outcome relay.Outcome) {
+// countRequest adds a request to its tenant's usage, as of the time it was sent, if it may have
+// started to run: it was sent and not rejected.
+func (x *exchange) countRequest(now, sentAt time.Time, outcome relay.Outcome) {
 	switch outcome {
 	case relay.Answered, relay.Errored, relay.Broken:
 		x.agent.node.CountRequest(now, sentAt, x.caller.Tenant)
 	}
 }
 
-// countBegun is count for a stream, which is counted as soon as it begins: it may outlast the
-// time in which counts are of use.
-func (x *exchange) countBegun(sentAt time.Time, outcome relay.Outcome) {
-	x.agent.do(func(now time.Time) { x.count(now, sentAt, outcome) })
+// countStarted is countRequest for a stream, which is counted when it starts: by the time it ends,
+// its usage may be too old to report.
+func (x *exchange) countStarted(sentAt time.Time, outcome relay.Outcome) {
+	x.agent.do(func(now time.Time) { x.countRequest(now, sentAt, outcome) })
 }
 
-// account tells the endpoint how the attempt fared. An attempt that was cancelled says
-// nothing of the replica, unless it was answered.
-func (x *exchange) account(now time.Time, ended *attempt, took time.Duration, cancelled bool) {
+// recordAttempt updates the endpoint's health with the attempt's outcome. A cancelled attempt is
+// ignored unless it was answered.
+func (x *exchange) recordAttempt(now time.Time, ended *attempt, took time.Duration, cancelled bool) {
 	if cancelled && ended.outcome != relay.Answered {
 		return
 	}
@@ -195,39 +193,39 @@
 }
 
 func (x *exchange) send(ctx context.Context, chosen *endpoint.Endpoint, call *upstream.Call) *attempt {
-	ended := x.agent.exchangeWhole(ctx, call)
+	ended := x.agent.doBuffered(ctx, call)
 	ended.endpoint = chosen
 	return ended
 }
 
-// exchangeWhole makes a call and reads its answer to the end.
-func (a *Agent) exchangeWhole(ctx context.Context, call *upstream.Call) *attempt {
+// doBuffered makes a call and reads the full response.
+func (a *Agent) doBuffered(ctx context.Context, call *upstream.Call) *attempt {
 	ended := &attempt{}
 	answer, err := a.upstream.Do(ctx, call)
 	if err != nil {
 		ended.err = err
-		ended.outcome = failedOutcome(err)
+		ended.outcome = errorOutcome(err)
 		return ended
 	}
 	defer answer.Close()
 	ended.status, ended.header = answer.Status, answer.Header
-	ended.body, ended.err = io.ReadAll(io.LimitReader(answer, answerBytes))
-	ended.outcome = a.outcome(ended)
+	ended.body, ended.err = io.ReadAll(io.LimitReader(answer, maxResponseBytes))
+	ended.outcome = a.responseOutcome(ended)
 	return ended
 }
 
-func (x *exchange) call(chosen *endpoint.Endpoint, left time.Duration) *upstream.Call {
+func (x *exchange) newCall(chosen *endpoint.Endpoint, left time.Duration) *upstream.Call {
 	header := x.request.Header.Clone()
 	dropConnectionHeaders(header)
-	x.agent.mark(header, x.caller)
+	x.agent.setTenantHeader(header, x.caller)
 	x.agent.protocol.Address(header, chosen.ID, left)
 	return &upstream.Call{
 		Address: chosen.Address, Method: x.request.Method, Target: target(x.request), Host: x.request.Host,
-		Header: header, Body: x.body, ID: x.id, IDOf: x.agent.protocol.RequestID, Late: x.agent.lateAfter(x.sendBy),
+		Header: header, Body: x.body, ID: x.id, IDOf: x.agent.protocol.RequestID, Late: x.agent.pastDeadline(x.sendBy),
 	}
 }
 
-// target returns the path and query as the caller sent them.
+// target returns the path and query as the client sent them.
 func target(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -235,8 +233,8 @@
 	return r.URL.RequestURI()
 }
 
-// dropConnectionHeaders removes what concerns one connection only, also the fields
-// that the Connection field names.
+// dropConnectionHeaders removes hop-by-hop headers, including those listed in the
+// Connection header.
 func dropConnectionHeaders(header http.Header) {
 	for _, named := range header.Values("Connection") {
 		for name := range strings.SplitSeq(named, ",") {
@@ -248,7 +246,7 @@
 	}
 }
 
-func failedOutcome(err error) relay.Outcome {
+func errorOutcome(err error) relay.Outcome {
 	var failed *upstream.Error
 	switch {
 	case !errors.As(err, &failed) || failed.Sent:
@@ -259,8 +257,8 @@
 	return relay.Unreached
 }
 
-// outcome judges an answer. A success that no replica signed is none.
-func (a *Agent) outcome(ended *attempt) relay.Outcome {
+// responseOutcome classifies a response. A successful response without a signature counts as broken.
+func (a *Agent) responseOutcome(ended *attempt) relay.Outcome {
 	switch {
 	case a.protocol.NotExecuted(ended.status, ended.header):
 		return relay.NotRun
--- a/internal/process/agent/forward.go
+++ b/internal/process/agent/forward.go
@@ -11,14 +11,14 @@
 	"github.com/doorstep/doorstep/internal/request/relay"
 )
 
-// forward relays a request whose answer is one body.
+// forward relays a request whose response is buffered.
 func (a *Agent) forward(w http.ResponseWriter, x *exchange) {
-	if !x.letThrough(w) {
+	if !x.mayForward(w) {
 		return
 	}
-	leaving := x.request.Context()
-	defer x.agent.useReplicas(leaving, x.route)()
-	ctx, cancel := context.WithDeadline(leaving, x.relay.Deadline())
+	clientCtx := x.request.Context()
+	defer x.agent.followReplicas(clientCtx, x.route)()
+	ctx, cancel := context.WithDeadline(clientCtx, x.relay.Deadline())
 	defer cancel()
 	var last *attempt
 	for {
@@ -28,9 +28,9 @@
 		case relay.Launch:
 			x.launch(ctx, now)
 		case relay.Wait:
-			ended := x.wait(leaving, decision.Until)
-			if leaving.Err() != nil {
-				a.log.add(event.RequestRefused, "request", x.id, "reason", "the caller left")
+			ended := x.wait(clientCtx, decision.Until)
+			if clientCtx.Err() != nil {
+				a.log.add(event.RequestRefused, "request", x.id, "reason", "client disconnected")
 				return
 			}
 			if ended != nil && (ended.outcome == relay.Answered || ended.outcome == relay.Errored) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// launch sends the next attempt, if there is a replica for it.
+// launch starts the next attempt if a replica is available.
 func (x *exchange) launch(ctx context.Context, now time.Time) {
 	chosen := x.choose()
 	if chosen == nil {
@@ -57,13 +57,13 @@
 	}
 	x.relay.Launched(now)
 	x.launched++
-	call := x.call(chosen, x.relay.Left(now))
+	call := x.newCall(chosen, x.relay.Left(now))
 	go func() { x.attempts <- x.try(ctx, chosen, call) }()
 }
 
-// deliver passes a replica's whole answer on.
+// deliver writes a replica's buffered response to the client.
 func (x *exchange) deliver(w http.ResponseWriter, ended *attempt) {
-	copyAnswerHeaders(w.Header(), ended.header)
+	copyResponseHeaders(w.Header(), ended.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(ended.body)))
 	w.WriteHeader(ended.status)
 	_, _ = w.Write(ended.body)
@@ -73,7 +73,7 @@
 		"attempts", x.launched, "replicas", strings.Join(x.tried, " "), "took_ms", took.Milliseconds(), "route", x.route.Name)
 }
 
-func copyAnswerHeaders(to, from http.Header) {
+func copyResponseHeaders(to, from http.Header) {
 	kept := from.Clone()
 	dropConnectionHeaders(kept)
 	for name, values := range kept {
--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// longestWait bounds how long a read of results may be held.
-	longestWait = 2 * time.Second
-	// jobIDBytes bounds a job's id, which is part of records' keys.
-	jobIDBytes = 120
+	// maxResultWait bounds how long a read waits for results.
+	maxResultWait = 2 * time.Second
+	// maxJobIDBytes bounds a job ID, which is part of record keys.
+	maxJobIDBytes = 120
 )
 
-// acceptJob takes a batch job; it is answered once it stands in the store.
-func (a *Agent) acceptJob(w http.ResponseWriter, r *http.Request, route *port.Route, who access.Caller, id string, body []byte) {
+// acceptJob accepts a batch job and responds once it is stored.
+func (a *Agent) acceptJob(w http.ResponseWriter, r *http.Request, route *port.Route, caller access.Caller, id string, body []byte) {
 	if r.Method != http.MethodPost {
 		a.refuse(w, id, http.StatusMethodNotAllowed, 0, "a batch job is handed in by POST")
 		return
 	}
 	job, err := a.protocol.DecodeJob(id, body)
-	if err == nil && (len(id) > jobIDBytes || strings.ContainsAny(id, "/\x00")) {
+	if err == nil && (len(id) > maxJobIDBytes || strings.ContainsAny(id, "/\x00")) {
 		err = errJobID
 	}
 	if err != nil {
 		a.refuse(w, id, http.StatusBadRequest, 0, err.Error())
 		return
 	}
-	job.Route, job.Host, job.Path, job.Tenant = route.Name, r.Host, r.URL.Path, who.Tenant
-	outcome := wait(r.Context(), func(done chan<- batch.Outcome) {
+	job.Route, job.Host, job.Path, job.Tenant = route.Name, r.Host, r.URL.Path, caller.Tenant
+	outcome := awaitOutcome(r.Context(), func(done chan<- batch.Outcome) {
 		a.do(func(now time.Time) {
 			a.node.Jobs().Accept(now, job, func(_ time.Time, outcome batch.Outcome) { done <- outcome })
 		})
@@ -50,15 +50,15 @@
 	a.refuseOutcome(w, id, outcome)
 }
 
-// errJobID says that a job's id can't be a key.
+// errJobID reports a job ID that is not usable in a record key.
 var errJobID = errorString("the id of the job is too long or holds a slash")
 
 type errorString string
 
 func (e errorString) Error() string { return string(e) }
 
-// wait hands a call to the node and waits for its outcome.
-func wait[T any](ctx context.Context, call func(done chan<- T)) T {
+// awaitOutcome makes a call to the node and waits for its outcome, even if the context ends.
+func awaitOutcome[T any](ctx context.Context, call func(done chan<- T)) T {
 	done := make(chan T, 1)
 	call(done)
 	select {
@@ -69,7 +69,7 @@
 	}
 }
 
-// refuseOutcome answers a call about a job that was not, or perhaps not, carried out.
+// refuseOutcome responds to a job call that failed or whose outcome is unknown.
 func (a *Agent) refuseOutcome(w http.ResponseWriter, id string, outcome batch.Outcome) {
 	switch outcome {
 	case batch.Absent:
@@ -77,17 +77,17 @@
 	case batch.OtherTenants:
 		a.refuse(w, id, http.StatusConflict, 0, reasonIDInUse)
 	case batch.Unsure:
-		a.refuse(w, id, http.StatusGatewayTimeout, 0, reasonStoreSilent)
+		a.refuse(w, id, http.StatusGatewayTimeout, 0, reasonStoreTimeout)
 	case batch.Unserved:
-		a.refuse(w, id, http.StatusServiceUnavailable, homesComeBack, reasonNoHome)
+		a.refuse(w, id, http.StatusServiceUnavailable, noRegionRetryAfter, reasonNoAllowedRegion)
 	case batch.NotDone, batch.Done:
-		a.refuse(w, id, http.StatusServiceUnavailable, comeBack, reasonStoreRefuses)
+		a.refuse(w, id, http.StatusServiceUnavailable, defaultRetryAfter, reasonStoreUnavailable)
 	}
 }
 
-// serveJobCall answers calls about jobs that were handed in.
+// serveJobCall handles calls about existing jobs.
 func (a *Agent) serveJobCall(w http.ResponseWriter, r *http.Request, table *routes.Table, call port.JobCall) {
-	if !a.admitToJob(w, r, table, call) {
+	if !a.authorizeJobCall(w, r, table, call) {
 		return
 	}
 	switch call.Kind {
@@ -96,7 +96,7 @@
 	case port.ReadItem:
 		a.readItem(w, r, call)
 	case port.EndJob:
-		outcome := wait(r.Context(), func(done chan<- batch.Outcome) {
+		outcome := awaitOutcome(r.Context(), func(done chan<- batch.Outcome) {
 			a.do(func(now time.Time) {
 				a.node.Jobs().End(now, call.Job, func(_ time.Time, outcome batch.Outcome) { done <- outcome })
 			})
@@ -108,13 +108,13 @@
 	}
 }
 
-// admitToJob reports whether a caller may see a job; if not, it was answered. Another tenant's
-// job is answered as one that does not exist. A job without a tenant is everyone's.
-func (a *Agent) admitToJob(w http.ResponseWriter, r *http.Request, table *routes.Table, call port.JobCall) bool {
+// authorizeJobCall reports whether the caller may access a job, and responds if not. Another tenant's
+// job is reported as not found. A job without a tenant is accessible to all.
+func (a *Agent) authorizeJobCall(w http.ResponseWriter, r *http.Request, table *routes.Table, call port.JobCall) bool {
 	if !table.HasTenants() {
 		return true
 	}
-	who, verdict := a.identify(table, r.Header, false)
+	caller, verdict := a.identify(table, r.Header, false)
 	if verdict != access.Admitted {
 		if state, known := a.knownJob(call.Job); known && state.Tenant == "" {
 			return true
@@ -122,13 +122,13 @@
 		a.refuseKey(w, call.Job, verdict)
 		return false
 	}
-	read := wait(r.Context(), func(done chan<- jobReading) {
+	read := awaitOutcome(r.Context(), func(done chan<- jobSnapshot) {
 		a.do(func(time.Time) {
-			a.withState(call.Job, func(state batch.State) { done <- jobReading{state: state} },
-				func(outcome batch.Outcome) { done <- jobReading{outcome: outcome} })
+			a.withJobState(call.Job, func(state batch.State) { done <- jobSnapshot{state: state} },
+				func(outcome batch.Outcome) { done <- jobSnapshot{outcome: outcome} })
 		})
 	})
-	if read.outcome == batch.Done && !who.MayUse(read.state.Tenant) {
+	if read.outcome == batch.Done && !caller.MayUse(read.state.Tenant) {
 		read.outcome = batch.Absent
 	}
 	if read.outcome != batch.Done {
@@ -144,17 +144,17 @@
 	return a.node.Jobs().Known(id)
 }
 
-// jobReading is the state of a job and results read from it.
-type jobReading struct {
+// jobSnapshot is a job's state with the results read from it.
+type jobSnapshot struct {
 	outcome batch.Outcome
 	state   batch.State
 	results []*doorstepv1.BatchResult
 }
 
-// readJob answers with results from a position on; it is held until there is one.
+// readJob responds with the results from a position on, waiting until there is at least one.
 func (a *Agent) readJob(w http.ResponseWriter, r *http.Request, call port.JobCall) {
 	startedAt := time.Now()
-	until := startedAt.Add(min(a.protocol.Wait(r.Header), longestWait))
+	until := startedAt.Add(min(a.protocol.Wait(r.Header), maxResultWait))
 	for {
 		changed := a.watchJob(call.Job)
 		read := a.readResults(r.Context(), call)
@@ -162,7 +162,7 @@
 			a.refuseOutcome(w, call.Job, read.outcome)
 			return
 		}
-		if len(read.results) > 0 || call.From >= read.state.Total || !a.waitChange(r.Context(), changed, until) {
+		if len(read.results) > 0 || call.From >= read.state.Total || !a.waitForChange(r.Context(), changed, until) {
 			a.log.add(event.JobRead, "job", call.Job, "from", call.From, "results", len(read.results), "held_ms", time.Since(startedAt).Milliseconds(),
 				"listed", read.state.Listed, "total", read.state.Total)
 			w.Header().Set("Content-Type", "application/json")
@@ -172,19 +172,19 @@
 	}
 }
 
-// watchJob returns a channel that is closed at the job's next change.
+// watchJob returns a channel that is closed when the job next changes.
 func (a *Agent) watchJob(id string) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	waiter := a.waiters[id]
+	waiter := a.jobWaiters[id]
 	if waiter == nil {
 		waiter = make(chan struct{})
-		a.waiters[id] = waiter
+		a.jobWaiters[id] = waiter
 	}
 	return waiter
 }
 
-func (a *Agent) waitChange(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
+func (a *Agent) waitForChange(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	left := time.Until(until)
 	if left <= 0 {
 		return false
@@ -202,28 +202,28 @@
 	return false
 }
 
-// readResults reads from the store, which alone is surely current.
-func (a *Agent) readResults(ctx context.Context, call port.JobCall) jobReading {
-	return wait(ctx, func(done chan<- jobReading) {
+// readResults reads results from the store, because this node's copy may be stale.
+func (a *Agent) readResults(ctx context.Context, call port.JobCall) jobSnapshot {
+	return awaitOutcome(ctx, func(done chan<- jobSnapshot) {
 		a.do(func(now time.Time) {
 			jobs := a.node.Jobs()
 			read := func(state batch.State) {
 				jobs.ReadResults(call.Job, call.From, func(_ time.Time, results []*doorstepv1.BatchResult, ok bool) {
 					if !ok {
-						done <- jobReading{outcome: batch.NotDone}
+						done <- jobSnapshot{outcome: batch.NotDone}
 						return
 					}
-					done <- jobReading{outcome: batch.Done, state: state, results: results}
+					done <- jobSnapshot{outcome: batch.Done, state: state, results: results}
 				})
 			}
-			a.withState(call.Job, read, func(outcome batch.Outcome) { done <- jobReading{outcome: outcome} })
+			a.withJobState(call.Job, read, func(outcome batch.Outcome) { done <- jobSnapshot{outcome: outcome} })
 		})
 	})
 }
 
-// withState calls found with a job's state, from the store if this node has not seen
-// the job, or failed. It is called within the node's loop.
-func (a *Agent) withState(id string, found func(state batch.State), failed func(outcome batch.Outcome)) {
+// withJobState calls found with a job's state, reading it from the store if this node does not
+// know the job, or else failed. The caller must hold the lock.
+func (a *Agent) withJobState(id string, found func(state batch.State), failed func(outcome batch.Outcome)) {
 	jobs := a.node.Jobs()
 	if state, ok := jobs.Known(id); ok {
 		found(state)
@@ -242,26 +242,26 @@
 	})
 }
 
-// itemReading is what a client handed in for an item.
-type itemReading struct {
+// itemContent is the body that a client submitted for an item.
+type itemContent struct {
 	outcome batch.Outcome
 	body    []byte
 }
 
-// readItem answers with the body of an item.
+// readItem responds with an item's body.
 func (a *Agent) readItem(w http.ResponseWriter, r *http.Request, call port.JobCall) {
-	read := wait(r.Context(), func(done chan<- itemReading) {
+	read := awaitOutcome(r.Context(), func(done chan<- itemContent) {
 		a.do(func(now time.Time) {
 			found := func(state batch.State) {
 				if state.Ended {
-					done <- itemReading{outcome: batch.Absent}
+					done <- itemContent{outcome: batch.Absent}
 					return
 				}
 				a.node.Jobs().ReadContent(now, call.Job, func(_ time.Time, job *doorstepv1.BatchJob) {
 					done <- findItem(job, call.Item)
 				})
 			}
-			a.withState(call.Job, found, func(outcome batch.Outcome) { done <- itemReading{outcome: outcome} })
+			a.withJobState(call.Job, found, func(outcome batch.Outcome) { done <- itemContent{outcome: outcome} })
 		})
 	})
 	if read.outcome != batch.Done {
@@ -271,14 +271,14 @@
 	_, _ = w.Write(read.body)
 }
 
-func findItem(job *doorstepv1.BatchJob, id string) itemReading {
+func findItem(job *doorstepv1.BatchJob, id string) itemContent {
 	if job == nil {
-		return itemReading{outcome: batch.NotDone}
+		return itemContent{outcome: batch.NotDone}
 	}
-	for _, one := range job.Items {
-		if one.Id == id {
-			return itemReading{outcome: batch.Done, body: one.Body}
+	for _, item := range job.Items {
+		if item.Id == id {
+			return itemContent{outcome: batch.Done, body: item.Body}
 		}
 	}
-	return itemReading{outcome: batch.Absent}
+	return itemContent{outcome: batch.Absent}
 }
--- a/internal/process/agent/log.go
+++ b/internal/process/agent/log.go
@@ -14,59 +14,58 @@
 )
 
 const (
-	// logRing bounds the lines that wait for the writer.
-	logRing = 1024
-	// linesPerSecond is the budget of lines about single requests, items and jobs.
-	linesPerSecond = 250
-	// sampleShifts bounds how far sampling goes: one id in two to this power.
-	sampleShifts = 10
+	// logBufferSize is the number of lines that can be queued for the writer.
+	logBufferSize = 1024
+	// maxSampledRate is the number of per-request and per-item lines per second above which sampling starts.
+	maxSampledRate = 250
+	// maxSampleShift bounds sampling to one ID in 2^maxSampleShift.
+	maxSampleShift = 10
 )
 
-// eventLog writes numbered events through one goroutine. Adding a line never blocks:
-// lines that find the ring full are counted and left out. Above the budget, lines about
-// single requests are sampled by id, so that a request is told of whole or not at all;
-// lines of warnings and errors are never sampled.
+// eventLog writes numbered events from one goroutine. Adding a line never blocks: lines that
+// find the buffer full are counted and dropped. Above maxSampledRate, per-request lines are
+// sampled by ID, so that either all or none of a request's lines are written. Warnings and
+// errors are never sampled.
 type eventLog struct {
 	logger hclog.Logger
-	lines  chan line
-	// clock is the record store's clock, by which the lines of all nodes can be ordered.
+	lines  chan logLine
+	// clock is the record store's clock, which orders lines across nodes.
 	clock func() time.Duration
-	// shifts says that one id in two to this power is told of.
-	shifts           atomic.Int32
+	// sampleShift selects one ID in 2^sampleShift.
+	sampleShift      atomic.Int32
 	dropped, sampled atomic.Uint64
-	added            atomic.Uint64
-	// leftOut counts all lines left out since the start.
-	leftOut atomic.Uint64
+	sampleable       atomic.Uint64
+	// omitted counts all lines dropped or sampled out since the start.
+	omitted atomic.Uint64
 }
 
-type line struct {
+type logLine struct {
 	number int
 	clock  time.Duration
 	fields []any
 }
 
 func newEventLog(logger hclog.Logger, clock func() time.Duration) *eventLog {
-	return &eventLog{logger: logger, lines: make(chan line, logRing), clock: clock}
+	return &eventLog{logger: logger, lines: make(chan logLine, logBufferSize), clock: clock}
 }
 
 func (l *eventLog) add(number int, fields ...any) {
-	if id := sampledBy(number, fields); id != "" {
-		l.added.Add(1)
-		if shifts := l.shifts.Load(); shifts > 0 && xxhash.Sum64String(id)>>(64-shifts) != 0 {
+	if id := samplingKey(number, fields); id != "" {
+		l.sampleable.Add(1)
+		if shifts := l.sampleShift.Load(); shifts > 0 && xxhash.Sum64String(id)>>(64-shifts) != 0 {
 			l.sampled.Add(1)
 			return
 		}
 	}
 	select {
-	case l.lines <- line{number, l.clock(), fields}:
+	case l.lines <- logLine{number, l.clock(), fields}:
 	default:
 		l.dropped.Add(1)
 	}
 }
 
-// sampledBy returns the id by which a line may be left out, empty for lines that are
-// always written.
-func sampledBy(number int, fields []any) string {
+// samplingKey returns the ID by which a line is sampled; empty for lines that are always written.
+func samplingKey(number int, fields []any) string {
 	entry, ok := event.Find(number)
 	if !ok || entry.Level > event.Info {
 		return ""
@@ -88,46 +87,46 @@
 		select {
 		case <-ctx.Done():
 			return
-		case one := <-l.lines:
-			l.write(one)
+		case next := <-l.lines:
+			l.write(next)
 		case <-report.C:
-			l.adapt()
+			l.updateSampling()
 		}
 	}
 }
 
-// adapt tells once a second what was left out, and sets the sampling by the rate.
-func (l *eventLog) adapt() {
+// updateSampling logs how many lines were omitted and adjusts the sampling to the current rate.
+func (l *eventLog) updateSampling() {
 	dropped, sampled := l.dropped.Swap(0), l.sampled.Swap(0)
-	l.leftOut.Add(dropped + sampled)
+	l.omitted.Add(dropped + sampled)
 	if dropped+sampled > 0 {
-		l.write(line{event.LogLinesDropped, l.clock(), []any{"dropped", dropped, "sampled", sampled}})
+		l.write(logLine{event.LogLinesDropped, l.clock(), []any{"dropped", dropped, "sampled", sampled}})
 	}
 	shifts := int32(0)
-	for rate := l.added.Swap(0); rate > linesPerSecond && shifts < sampleShifts; rate /= 2 {
+	for rate := l.sampleable.Swap(0); rate > maxSampledRate && shifts < maxSampleShift; rate /= 2 {
 		shifts++
 	}
-	l.shifts.Store(shifts)
+	l.sampleShift.Store(shifts)
 }
 
-// drain writes what is left in the ring.
+// drain writes the queued lines.
 func (l *eventLog) drain() {
 	for {
 		select {
-		case one := <-l.lines:
-			l.write(one)
+		case next := <-l.lines:
+			l.write(next)
 		default:
 			return
 		}
 	}
 }
 
-func (l *eventLog) write(one line) {
-	entry, ok := event.Find(one.number)
+func (l *eventLog) write(next logLine) {
+	entry, ok := event.Find(next.number)
 	if !ok {
 		return
 	}
-	fields := append([]any{"event", one.number, "clock_ms", one.clock.Milliseconds()}, one.fields...)
+	fields := append([]any{"event", next.number, "clock_ms", next.clock.Milliseconds()}, next.fields...)
 	switch entry.Level {
 	case event.Debug:
 		l.logger.Debug(entry.Message, fields...)
@@ -140,5 +139,5 @@
 	}
 }
 
-// standard is for net/http, whose notes on single connections are of no use here.
-func (l *eventLog) standard() *log.Logger { return log.New(io.Discard, "", 0) }
+// discardLogger suppresses net/http's messages about individual connections.
+func (l *eventLog) discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/internal/process/agent/log_bench_test.go
+++ b/internal/process/agent/log_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// BenchmarkLogLine is the cost of a line from its adding to its writing.
+// BenchmarkLogLine measures adding and writing a line.
 func BenchmarkLogLine(b *testing.B) {
 	l := newEventLog(hclog.New(&hclog.LoggerOptions{Output: io.Discard, JSONFormat: true}), func() time.Duration { return 0 })
 	b.ReportAllocs()
@@ -20,10 +20,10 @@
 	}
 }
 
-// BenchmarkSampledLine is the cost of a line that is left out.
+// BenchmarkSampledLine measures adding a line that is sampled out.
 func BenchmarkSampledLine(b *testing.B) {
 	l := newEventLog(hclog.New(&hclog.LoggerOptions{Output: io.Discard}), func() time.Duration { return 0 })
-	l.shifts.Store(sampleShifts)
+	l.sampleShift.Store(maxSampleShift)
 	b.ReportAllocs()
 	for range b.N {
 		l.add(event.RequestAnswered, "request", "9c41d07be2a35f68", "replica", "i-1", "status", 200)
--- a/internal/process/agent/log_test.go
+++ b/internal/process/agent/log_test.go
@@ -18,7 +18,7 @@
 	return newEventLog(logger, func() time.Duration { return 5 * time.Second })
 }
 
-func TestLinesCarryNumberAndClock(t *testing.T) {
+func TestLogLineIncludesEventAndClock(t *testing.T) {
 	var output bytes.Buffer
 	l := testLog(&output)
 	l.add(event.JobAccepted, "job", "j")
@@ -28,32 +28,32 @@
 	}
 }
 
-func TestFullLogNeverBlocks(t *testing.T) {
+func TestFullBufferDropsLines(t *testing.T) {
 	var output bytes.Buffer
 	l := testLog(&output)
-	for range 3 * logRing {
+	for range 3 * logBufferSize {
 		l.add(event.RoutesApplied, "version", 1)
 	}
-	if l.dropped.Load() != 2*logRing {
-		t.Errorf("%d lines dropped", l.dropped.Load())
+	if l.dropped.Load() != 2*logBufferSize {
+		t.Errorf("%d lines dropped, want %d", l.dropped.Load(), 2*logBufferSize)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	l.run(ctx)
 	l.drain()
-	l.adapt()
-	if !strings.Contains(output.String(), fmt.Sprintf(`"dropped":%d`, 2*logRing)) {
-		t.Error("what was left out is told of")
+	l.updateSampling()
+	if !strings.Contains(output.String(), fmt.Sprintf(`"dropped":%d`, 2*logBufferSize)) {
+		t.Error("number of dropped lines is not logged")
 	}
 }
 
-func TestSamplingKeepsRequestsWhole(t *testing.T) {
+func TestSamplingByRequestID(t *testing.T) {
 	var output bytes.Buffer
 	l := testLog(&output)
-	l.added.Store(4 * linesPerSecond)
-	l.adapt()
-	if l.shifts.Load() == 0 {
-		t.Fatal("over the budget lines are sampled")
+	l.sampleable.Store(4 * maxSampledRate)
+	l.updateSampling()
+	if l.sampleShift.Load() == 0 {
+		t.Fatal("lines above the rate limit are not sampled")
 	}
 	const requests = 200
 	for i := range requests {
@@ -62,17 +62,17 @@
 		l.add(event.RequestAnswered, "request", id)
 		l.drain()
 	}
-	whole := 0
+	complete := 0
 	for i := range requests {
 		switch strings.Count(output.String(), fmt.Sprintf(`"request":"id-%d"`, i)) {
 		case 2:
-			whole++
+			complete++
 		case 1:
-			t.Errorf("request %d is told of in part", i)
+			t.Errorf("request %d is logged only in part", i)
 		}
 	}
-	if whole == 0 || whole == requests {
-		t.Errorf("%d of %d requests told of", whole, requests)
+	if complete == 0 || complete == requests {
+		t.Errorf("%d of %d requests logged; want some but not all", complete, requests)
 	}
 	output.Reset()
 	for i := range requests {
@@ -80,11 +80,11 @@
 		l.drain()
 	}
 	if got := strings.Count(output.String(), `"event":611`); got != requests {
-		t.Errorf("%d of %d failures told of", got, requests)
+		t.Errorf("%d of %d failures logged", got, requests)
 	}
-	l.added.Store(0)
-	l.adapt()
-	if l.shifts.Load() != 0 {
-		t.Error("under the budget all is told of")
+	l.sampleable.Store(0)
+	l.updateSampling()
+	if l.sampleShift.Load() != 0 {
+		t.Error("lines below the rate limit are sampled")
 	}
 }
--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -19,24 +19,24 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// latencyBuckets are the bounds of the latency histograms, in seconds.
+// latencyBuckets are the histogram buckets for latencies, in seconds.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
-// runBuckets are those of items, whose texts take seconds.
+// runBuckets are the histogram buckets for item runs, in seconds.
 var runBuckets = []float64{.01, .05, .1, .25, .5, 1, 2, 4, 8, 16, 32}
 
-// metrics are the process's own figures.
+// metrics holds the process's Prometheus metrics.
 type metrics struct {
-	registry   *prometheus.Registry
-	answers    *prometheus.HistogramVec
-	refusals   *prometheus.CounterVec
-	attempts   *prometheus.CounterVec
-	runs       *prometheus.HistogramVec
-	waits      prometheus.Histogram
-	scoring    *prometheus.HistogramVec
-	jobs       *prometheus.CounterVec
-	storeCalls *prometheus.HistogramVec
-	elsewhere  *prometheus.CounterVec
+	registry    *prometheus.Registry
+	answers     *prometheus.HistogramVec
+	refusals    *prometheus.CounterVec
+	attempts    *prometheus.CounterVec
+	runs        *prometheus.HistogramVec
+	queueTimes  prometheus.Histogram
+	scoring     *prometheus.HistogramVec
+	jobs        *prometheus.CounterVec
+	storeCalls  *prometheus.HistogramVec
+	crossRegion *prometheus.CounterVec
 }
 
 func newMetrics(a *Agent) *metrics {
@@ -50,7 +50,7 @@
 			Help: "Tries at replicas, by outcome."}, []string{"outcome"}),
 		runs: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "doorstep_item_run_seconds",
 			Help: "Time that a run of an item of a batch job took, by outcome.", Buckets: runBuckets}, []string{"outcome"}),
-		waits: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "doorstep_item_queue_seconds",
+		queueTimes: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "doorstep_item_queue_seconds",
 			Help: "Time that an item of a batch job waited at its owner for a replica.", Buckets: runBuckets}),
 		scoring: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "doorstep_scoring_call_seconds",
 			Help: "Time that an attempt of an item's scoring call took, by outcome.", Buckets: latencyBuckets}, []string{"outcome"}),
@@ -58,10 +58,10 @@
 			Help: "Batch jobs handed in, by outcome."}, []string{"outcome"}),
 		storeCalls: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "doorstep_store_call_seconds",
 			Help: "Calls to the record store, by kind and outcome.", Buckets: latencyBuckets}, []string{"call", "outcome"}),
-		elsewhere: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "doorstep_sent_to_other_regions_total",
+		crossRegion: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "doorstep_sent_to_other_regions_total",
 			Help: "Requests, items and scoring calls sent to replicas in another region."}, []string{"kind"}),
 	}
-	m.registry.MustRegister(m.answers, m.refusals, m.attempts, m.runs, m.waits, m.scoring, m.jobs, m.storeCalls, m.elsewhere)
+	m.registry.MustRegister(m.answers, m.refusals, m.attempts, m.runs, m.queueTimes, m.scoring, m.jobs, m.storeCalls, m.crossRegion)
 	m.registerGauges(a)
 	m.registerDistances(a)
 	return m
@@ -132,12 +132,12 @@
 	counts("doorstep_batch_items_waiting", "Items that wait for a replica.", func(c batch.Counts) int { return c.Waiting })
 	counts("doorstep_batch_items_scoring", "Items whose whole text waits for its score.", func(c batch.Counts) int { return c.Scoring })
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "doorstep_log_lines_dropped_total",
-		Help: "Log lines left out, as the ring was full or the budget spent."}, func() float64 { return float64(a.log.leftOut.Load()) }))
+		Help: "Log lines left out, as the ring was full or the budget spent."}, func() float64 { return float64(a.log.omitted.Load()) }))
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "doorstep_replica_connections_total",
 		Help: "Connections opened to replicas."}, func() float64 { return float64(a.upstream.Opened()) }))
 }
 
-// registerWithheld tells how many replicas get no new work, for each reason.
+// registerWithheld registers the number of replicas that get no new work, by reason.
 func (m *metrics) registerWithheld(a *Agent) {
 	for _, reason := range []endpoint.Withheld{endpoint.WithheldLeaving, endpoint.WithheldDrained, endpoint.WithheldEvacuated} {
 		options := prometheus.GaugeOpts{
@@ -157,17 +157,17 @@
 }
 
 func (m *metrics) refusal(status int, reason string) {
-	if !slices.Contains(refusalReasons, reason) {
+	if !slices.Contains(labelledReasons, reason) {
 		reason = "other"
 	}
 	m.refusals.WithLabelValues(strconv.Itoa(status), reason).Inc()
 }
 
-// refusalReasons are the reasons that are told apart in the figures; those that hold a
-// caller's input would make a label for each.
-var refusalReasons = []string{
-	reasonNoConfiguration, reasonNoRoute, reasonLargeHead, reasonNoID, reasonLargeBody, reasonCutBody, reasonNoJob, reasonStoreSilent,
-	reasonStoreRefuses, reasonIDInUse, reasonNoKey, reasonUnknownKey, reasonUnconfirmed, reasonQuarantined, reasonCold, reasonNoHome, relay.ReasonDeadline, relay.ReasonNoAttempt, relay.ReasonEvacuated,
+// labelledReasons are the reasons used as metric labels. Others may contain client input and
+// are reported as "other" to bound the number of labels.
+var labelledReasons = []string{
+	reasonNoConfiguration, reasonNoRoute, reasonHeaderTooLarge, reasonNoID, reasonBodyTooLarge, reasonIncompleteBody, reasonNoJob, reasonStoreTimeout,
+	reasonStoreUnavailable, reasonIDInUse, reasonNoKey, reasonUnknownKey, reasonUnconfirmed, reasonQuarantined, reasonCold, reasonNoAllowedRegion, relay.ReasonDeadline, relay.ReasonNoAttempt, relay.ReasonEvacuated,
 }
 
 var attemptOutcomes = map[relay.Outcome]string{relay.Answered: "answered", relay.Errored: "errored", relay.NotRun: "not_run", relay.Broken: "broken", relay.Unreached: "unreached", relay.Refused: "refused"}
@@ -186,7 +186,7 @@
 		task.RunImpossible: "impossible", task.RunRefused: "refused", task.RunUnreachable: "unreachable", task.RunSilent: "silent", task.RunSlow: "slow",
 	}
 	m.runs.WithLabelValues(names[outcome]).Observe(took.Seconds())
-	m.waits.Observe(waited.Seconds())
+	m.queueTimes.Observe(waited.Seconds())
 }
 
 func (m *metrics) accepted(outcome batch.Outcome) {
@@ -202,8 +202,8 @@
 	m.storeCalls.WithLabelValues(kind, names[status]).Observe(took.Seconds())
 }
 
-// serveMetrics serves the figures, if the settings name an address for them. Without
-// them the node serves on.
+// serveMetrics serves the metrics if an address is configured. The node runs without them
+// if the address is unavailable.
 func (a *Agent) serveMetrics(ctx context.Context) {
 	if a.settings.Listen.Metrics == "" {
 		return
@@ -219,7 +219,7 @@
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 }
 
-// registerCold registers the figures of cold replicas.
+// registerCold registers the metrics of cold replicas.
 func (m *metrics) registerCold(a *Agent, gauge func(name, help string, value func() float64)) {
 	gauge("doorstep_replicas_cold", "Replicas that are cold by their records.", func() float64 { return float64(a.node.Cold().Replicas) })
 	counter := func(name, help string, value func(figures cluster.ColdFigures) int) {
--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// reasonNoHome refuses what no replica may serve: none lies in the regions in which it must stay.
-	reasonNoHome = "no replica in the regions that the request must stay in"
-	// homesComeBack is told to its caller: it takes a change of the configuration or of the fleet.
-	homesComeBack = time.Second
+	// reasonNoAllowedRegion is reported when no replica is in the request's allowed regions.
+	reasonNoAllowedRegion = "no replica in the regions that the request must stay in"
+	// noRegionRetryAfter is its Retry-After value.
+	noRegionRetryAfter = time.Second
 )
 
-// Kinds of what is sent to replicas.
+// Labels of the work sent to replicas, by kind.
 const (
 	sentRequest = "request"
 	sentItem    = "item"
 	sentScoring = "scoring"
 )
 
-// refuseUnserved refuses a request that no replica may serve, as not run.
+// refuseUnserved responds to a request that no replica may serve.
 func (x *exchange) refuseUnserved(w http.ResponseWriter) {
-	x.agent.refuse(w, x.id, http.StatusServiceUnavailable, homesComeBack, reasonNoHome, "route", x.route.Name, "tenant", x.caller.Tenant)
+	x.agent.refuse(w, x.id, http.StatusServiceUnavailable, noRegionRetryAfter, reasonNoAllowedRegion, "route", x.route.Name, "tenant", x.caller.Tenant)
 }
 
-// noteSent counts what is sent to a replica in another region. It is called within the node's loop.
-func (a *Agent) noteSent(kind, replica string) {
+// countCrossRegion counts work sent to a replica in another region. The caller must hold the lock.
+func (a *Agent) countCrossRegion(kind, replica string) {
 	if a.node.Elsewhere(replica) {
-		a.metrics.elsewhere.WithLabelValues(kind).Inc()
+		a.metrics.crossRegion.WithLabelValues(kind).Inc()
 	}
 }
 
-// spanRegions has the node learn from new connections how far other regions are, and leave time for
-// replicas elsewhere, as the way to a whole region may be cut.
-func (a *Agent) spanRegions() {
+// configureRegions measures the distance to other regions from connection times, and reserves time to
+// connect to a second replica when a whole region is unreachable.
+func (a *Agent) configureRegions() {
 	if !a.settings.Topology().Several() {
 		return
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-// registerDistances adds how far the zones of other regions are.
+// registerDistances registers the distance to each zone in another region.
 func (m *metrics) registerDistances(a *Agent) {
 	topology := a.settings.Topology()
 	for zone, region := range topology.Regions {
--- a/internal/process/agent/replicas.go
+++ b/internal/process/agent/replicas.go
@@ -7,17 +7,17 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// replicaWait bounds how long a request waits for the replicas of its service to be read. The store takes
-// 4 ms for that, some 250 ms where it is slow; a node that it does not answer serves with what it knows.
-const replicaWait = 400 * time.Millisecond
+// replicaListTimeout bounds how long a request waits for its service's replicas to be read. After that
+// the node uses the replicas it knows.
+const replicaListTimeout = 400 * time.Millisecond
 
-// useReplicas lets the node follow replicas of a route's services until the function that it returns is
-// called, and waits until some are known.
-func (a *Agent) useReplicas(ctx context.Context, route *port.Route) (end func()) {
+// followReplicas keeps the replicas of a route's services up to date until end is called, and waits until
+// some are known.
+func (a *Agent) followReplicas(ctx context.Context, route *port.Route) (end func()) {
 	var known <-chan struct{}
 	a.do(func(now time.Time) {
 		if a.node.BeginRequest(now, route) {
-			known = a.untilReplicasKnown()
+			known = a.replicasKnownChannel()
 		}
 	})
 	if known != nil {
@@ -26,17 +26,17 @@
 	return func() { a.do(a.node.EndRequest) }
 }
 
-// untilReplicasKnown returns what is closed once replicas were read. It is called under the lock.
-func (a *Agent) untilReplicasKnown() <-chan struct{} {
+// replicasKnownChannel returns a channel that is closed once replicas have been read. The caller must hold the lock.
+func (a *Agent) replicasKnownChannel() <-chan struct{} {
 	if a.replicasKnown == nil {
 		a.replicasKnown = make(chan struct{})
 	}
 	return a.replicasKnown
 }
 
-// awaitReplicas reports whether replicas were read before the time for it was over.
+// awaitReplicas reports whether replicas were read before the timeout.
 func (a *Agent) awaitReplicas(ctx context.Context, known <-chan struct{}) bool {
-	ctx, cancel := context.WithTimeout(ctx, replicaWait)
+	ctx, cancel := context.WithTimeout(ctx, replicaListTimeout)
 	defer cancel()
 	select {
 	case <-known:
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// controlTimeout bounds orders and reports, controlBytes their answers.
-	controlTimeout = 900 * time.Millisecond
-	controlBytes   = 1 << 20
-	// tellEvery is how often the node is told of a run's events at the least: what it does not
-	// know of it can't keep.
-	tellEvery = 250 * time.Millisecond
+	// controlTimeout bounds orders and reports; maxControlBytes bounds their responses.
+	controlTimeout  = 900 * time.Millisecond
+	maxControlBytes = 1 << 20
+	// progressInterval is the longest time between progress reports to the node, which can
+	// persist only the events reported to it.
+	progressInterval = 250 * time.Millisecond
 )
 
-// run sends an item to a replica and reads its stream to the end.
+// run sends an item to a replica and reads its event stream to the end.
 func (a *Agent) run(ctx context.Context, t task.Run) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -30,7 +30,7 @@
 	result := a.stream(ctx, cancel, t)
 	a.metrics.run(result.Outcome, t.Waited, time.Since(startedAt))
 	a.do(func(now time.Time) {
-		delete(a.runs, t.ID)
+		delete(a.runCancels, t.ID)
 		t.Done(now, result)
 	})
 }
@@ -39,103 +39,105 @@
 	header := t.Header
 	a.protocol.SetRequestID(header, t.Item)
 	a.protocol.Address(header, t.Replica, t.Limit)
-	a.mark(header, a.jobCaller(t.Tenant))
+	a.setTenantHeader(header, a.jobCaller(t.Tenant))
 	if t.Urgent {
 		a.protocol.Urge(header)
 	}
 	if t.After > 0 {
 		a.protocol.Resume(header, strconv.FormatInt(t.After, 10))
 	}
-	silence := time.AfterFunc(t.FirstWithin, cancel)
-	defer silence.Stop()
+	eventTimeout := time.AfterFunc(t.FirstWithin, cancel)
+	defer eventTimeout.Stop()
 	startedAt := time.Now()
 	answer, err := a.upstream.Do(ctx, &upstream.Call{
 		Address: t.Address, Method: http.MethodPost, Target: t.Target, Host: t.Host, Header: header, Body: t.Body,
-		ID: t.Item, IDOf: a.protocol.RequestID, Late: a.lateAfter(t.SendBy),
+		ID: t.Item, IDOf: a.protocol.RequestID, Late: a.pastDeadline(t.SendBy),
 	})
 	if err != nil {
 		if ctx.Err() != nil {
 			return task.RunResult{Outcome: task.RunSilent}
 		}
-		return task.RunResult{Outcome: task.RunUnreachable, Crashed: a.crashedBy(ctx, t.Address, err)}
+		return task.RunResult{Outcome: task.RunUnreachable, Crashed: a.crashedWithError(ctx, t.Address, err)}
 	}
 	defer answer.Close()
-	a.learnLoad(t.Replica, answer.Header)
+	a.updateLoad(t.Replica, answer.Header)
 	result := task.RunResult{Outcome: runOutcome(answer.Status, a.protocol.NotExecuted(answer.Status, answer.Header)), Status: answer.Status}
 	if result.Outcome != task.RunCompleted {
 		_, _ = io.Copy(io.Discard, answer)
 		return result
 	}
-	reading := runReading{events: a.protocol.NewEventReader(answer), version: a.protocol.Version(answer.Header), last: t.After, toldAt: time.Now()}
+	reading := runReader{events: a.protocol.NewEventReader(answer), version: a.protocol.Version(answer.Header), last: t.After, reportedAt: time.Now()}
 	for {
-		one, err := reading.next()
-		result.Pace = reading.rhythm.pace()
+		received, err := reading.next()
+		result.Pace = reading.estimator.pace()
 		if errors.Is(err, io.EOF) {
 			return result
 		}
 		if err != nil {
 			result.Outcome = task.RunInterrupted
-			result.Crashed = a.crashedBy(ctx, t.Address, err)
+			result.Crashed = a.crashedWithError(ctx, t.Address, err)
 			return result
 		}
-		silence.Reset(t.NextWithin)
+		eventTimeout.Reset(t.NextWithin)
 		if len(result.Events) == 0 {
 			result.FirstEvent = time.Since(startedAt)
 		}
-		result.Events = append(result.Events, one)
-		if reading.tell && a.tooSlow(t, result.Events, reading.newPace()) {
+		result.Events = append(result.Events, received)
+		if reading.reportDue && a.reportProgress(t, result.Events, reading.newPace()) {
 			result.Outcome = task.RunSlow
 			return result
 		}
 	}
 }
 
-func (a *Agent) tooSlow(t task.Run, events []port.ReplicaEvent, pace time.Duration) bool {
+// reportProgress reports a run's events to the node, and returns whether to stop the run because
+// it is too slow.
+func (a *Agent) reportProgress(t task.Run, events []port.ReplicaEvent, pace time.Duration) bool {
 	stop := false
 	a.do(func(now time.Time) { stop = t.Progress(now, events, pace) })
 	return stop
 }
 
-// runReading reads the events of a run: each must follow the one before.
-type runReading struct {
-	events  port.EventReader
-	version int64
-	last    int64
-	rhythm  rhythm
-	// paced says that the last event made the pace known anew, tell that the node is to be
-	// told of the events so far, toldAt when that was so last.
-	paced, tell bool
-	toldAt      time.Time
+// runReader reads a run's events and checks that their IDs are consecutive.
+type runReader struct {
+	events    port.EventReader
+	version   int64
+	last      int64
+	estimator paceEstimator
+	// paceUpdated reports that the last event produced a new pace estimate, reportDue that the
+	// node should be told of the events so far. reportedAt is when it last was.
+	paceUpdated, reportDue bool
+	reportedAt             time.Time
 }
 
-// next returns the next event with the version that made it.
-func (r *runReading) next() (port.ReplicaEvent, error) {
-	one, err := r.events.Next()
+// next returns the next event with the weight version that generated it.
+func (r *runReader) next() (port.ReplicaEvent, error) {
+	received, err := r.events.Next()
 	if err != nil {
-		return one, err
+		return received, err
 	}
-	if one.ID != r.last+1 {
-		return one, errEventMissing
+	if received.ID != r.last+1 {
+		return received, errEventMissing
 	}
 	now := time.Now()
-	r.paced = r.rhythm.note(now)
-	r.tell = r.paced || now.Sub(r.toldAt) >= tellEvery
-	if r.tell {
-		r.toldAt = now
+	r.paceUpdated = r.estimator.observe(now)
+	r.reportDue = r.paceUpdated || now.Sub(r.reportedAt) >= progressInterval
+	if r.reportDue {
+		r.reportedAt = now
 	}
-	r.last = one.ID
-	if one.Version > 0 {
-		r.version = one.Version
+	r.last = received.ID
+	if received.Version > 0 {
+		r.version = received.Version
 	}
-	return port.ReplicaEvent{ID: one.ID, Data: one.Data, Version: r.version}, nil
+	return port.ReplicaEvent{ID: received.ID, Data: received.Data, Version: r.version}, nil
 }
 
-// newPace returns the pace if the last event made it known anew, else 0.
-func (r *runReading) newPace() time.Duration {
-	if !r.paced {
+// newPace returns the pace estimate if the last event updated it, or else 0.
+func (r *runReader) newPace() time.Duration {
+	if !r.paceUpdated {
 		return 0
 	}
-	return r.rhythm.pace()
+	return r.estimator.pace()
 }
 
 func runOutcome(status int, notExecuted bool) task.RunOutcome {
@@ -152,41 +154,41 @@
 	return task.RunFailed
 }
 
-func (a *Agent) learnLoad(replica string, header http.Header) {
+func (a *Agent) updateLoad(replica string, header http.Header) {
 	running, waiting, _, ok := a.protocol.Load(header)
 	if !ok {
 		return
 	}
 	a.do(func(now time.Time) {
-		if one := a.node.Endpoints().Find(replica); one != nil {
-			one.LearnLoad(now, running, waiting)
+		if found := a.node.Endpoints().Find(replica); found != nil {
+			found.LearnLoad(now, running, waiting)
 		}
 	})
 }
 
-// order sends a version order.
+// order sends a version order to a replica.
 func (a *Agent) order(ctx context.Context, t task.Order) {
 	path, body := a.protocol.EncodeOrder(t.Order)
 	status := port.VersionOrderUnknown
-	code, _, err := a.control(ctx, t.Order.Replica, t.Order.Address, http.MethodPost, path, body, t.Limit)
+	code, _, err := a.callReplica(ctx, t.Order.Replica, t.Order.Address, http.MethodPost, path, body, t.Limit)
 	if err == nil {
 		status = a.protocol.DecodeOrderStatus(code)
 	}
 	a.do(func(now time.Time) { t.Done(now, status) })
 }
 
-// report asks a replica for its state.
+// report requests a replica's state.
 func (a *Agent) report(t task.Report) {
 	var report port.ReplicaReport
-	code, content, err := a.control(a.base, t.Replica, t.Address, http.MethodGet, a.protocol.ReportPath(), nil, controlTimeout)
+	code, content, err := a.callReplica(a.base, t.Replica, t.Address, http.MethodGet, a.protocol.ReportPath(), nil, controlTimeout)
 	if err == nil && code == http.StatusOK {
 		report = a.protocol.DecodeReport(content)
 	}
 	a.do(func(now time.Time) { t.Done(now, report) })
 }
 
-// control makes a short call to a replica, bound to its incarnation and within a limit.
-func (a *Agent) control(ctx context.Context, replica, address, method, path string, body []byte, limit time.Duration) (int, []byte, error) {
+// callReplica makes a short call to one incarnation of a replica and returns the status and body.
+func (a *Agent) callReplica(ctx context.Context, replica, address, method, path string, body []byte, limit time.Duration) (int, []byte, error) {
 	limit = min(limit, controlTimeout)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -200,6 +202,6 @@
 		return 0, nil, err
 	}
 	defer answer.Close()
-	content, err := io.ReadAll(io.LimitReader(answer, controlBytes))
+	content, err := io.ReadAll(io.LimitReader(answer, maxControlBytes))
 	return answer.Status, content, err
 }
--- a/internal/process/agent/scoring.go
+++ b/internal/process/agent/scoring.go
@@ -10,27 +10,27 @@
 	"github.com/doorstep/doorstep/internal/request/relay"
 )
 
-// callScoring makes one attempt of an item's scoring call. The context ends at its limit.
+// callScoring makes one attempt at an item's scoring call.
 func (a *Agent) callScoring(ctx context.Context, t task.ScoringCall) {
 	header := http.Header{}
 	a.protocol.SetRequestID(header, t.Request)
 	a.protocol.Address(header, t.Replica, t.Limit)
-	a.mark(header, a.jobCaller(t.Tenant))
+	a.setTenantHeader(header, a.jobCaller(t.Tenant))
 	startedAt := time.Now()
-	ended := a.exchangeWhole(ctx, &upstream.Call{
+	ended := a.doBuffered(ctx, &upstream.Call{
 		Address: t.Address, Method: http.MethodPost, Target: t.Target, Host: t.Host, Header: header, Body: t.Body,
-		ID: t.Request, IDOf: a.protocol.RequestID, Late: a.lateAfter(t.SendBy),
+		ID: t.Request, IDOf: a.protocol.RequestID, Late: a.pastDeadline(t.SendBy),
 	})
 	a.metrics.scoringCall(ended.outcome, time.Since(startedAt))
 	result := task.ScoringResult{Outcome: ended.outcome, Status: ended.status, Err: ended.err, Crashed: a.crashed(ctx, t.Address, ended.outcome)}
 	if ended.outcome == relay.Answered {
 		result.Score = a.protocol.Signature(ended.header)
 	}
-	a.learnLoad(t.Replica, ended.header)
+	a.updateLoad(t.Replica, ended.header)
 	a.do(func(now time.Time) {
-		if cancel := a.runs[t.ID]; cancel != nil {
+		if cancel := a.runCancels[t.ID]; cancel != nil {
 			cancel()
-			delete(a.runs, t.ID)
+			delete(a.runCancels, t.ID)
 		}
 		t.Done(now, result)
 	})
--- a/internal/process/agent/serve.go
+++ b/internal/process/agent/serve.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// comeBack is told to callers that this node can't serve for the moment.
-	comeBack = 300 * time.Millisecond
-	// bodyWithin bounds the reading of a body where no route says how long.
-	bodyWithin = 30 * time.Second
+	// defaultRetryAfter is the Retry-After value for temporary failures.
+	defaultRetryAfter = 300 * time.Millisecond
+	// bodyReadTimeout bounds the reading of a request body.
+	bodyReadTimeout = 30 * time.Second
 )
 
-// Reasons of refusals.
+// Reasons for refusals, which are returned to clients and used as metric labels.
 const (
-	reasonNoConfiguration = "no configuration yet"
-	reasonNoRoute         = "no such route"
-	reasonLargeHead       = "the head is too large"
-	reasonNoID            = "the request has no id"
-	reasonLargeBody       = "the body is too large"
-	reasonCutBody         = "the body did not come whole"
-	reasonNoJob           = "no such batch job"
-	reasonIDInUse         = "the id of the batch job is in use"
-	reasonStoreSilent     = "the store did not answer"
-	reasonStoreRefuses    = "the store can't be reached"
+	reasonNoConfiguration  = "no configuration yet"
+	reasonNoRoute          = "no such route"
+	reasonHeaderTooLarge   = "the head is too large"
+	reasonNoID             = "the request has no id"
+	reasonBodyTooLarge     = "the body is too large"
+	reasonIncompleteBody   = "the body did not come whole"
+	reasonNoJob            = "no such batch job"
+	reasonIDInUse          = "the id of the batch job is in use"
+	reasonStoreTimeout     = "the store did not answer"
+	reasonStoreUnavailable = "the store can't be reached"
 )
 
-// serve takes every call of clients.
+// serve handles all client calls.
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	id := a.protocol.RequestID(r.Header)
 	a.mu.Lock()
@@ -44,7 +44,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if table == nil {
-		a.refuse(w, id, http.StatusServiceUnavailable, comeBack, reasonNoConfiguration)
+		a.refuse(w, id, http.StatusServiceUnavailable, defaultRetryAfter, reasonNoConfiguration)
 		return
 	}
 	if call := a.protocol.DecodeJobCall(r.Method, r.URL); call.Kind != port.NoJobCall {
@@ -60,13 +60,13 @@
 		a.refuse(w, id, http.StatusNotFound, 0, reasonNoRoute)
 		return
 	}
-	who, ok := a.admit(w, r, id, table, route.AllowAnonymous)
+	caller, ok := a.admit(w, r, id, table, route.AllowAnonymous)
 	if !ok {
 		return
 	}
 	limits := table.Limits()
-	if limits.HeaderBytes > 0 && headSize(r) > limits.HeaderBytes {
-		a.refuse(w, id, http.StatusRequestHeaderFieldsTooLarge, 0, reasonLargeHead)
+	if limits.HeaderBytes > 0 && headerSize(r) > limits.HeaderBytes {
+		a.refuse(w, id, http.StatusRequestHeaderFieldsTooLarge, 0, reasonHeaderTooLarge)
 		return
 	}
 	if id == "" {
@@ -79,16 +79,16 @@
 	}
 	switch route.Kind {
 	case port.RouteBatch:
-		a.acceptJob(w, r, route, who, id, body)
+		a.acceptJob(w, r, route, caller, id, body)
 	case port.RouteStreaming:
-		a.forwardStream(w, a.newExchange(r, route, who, id, body))
+		a.forwardStream(w, a.newExchange(r, route, caller, id, body))
 	case port.RouteIdempotent, port.RouteNonIdempotent:
-		a.forward(w, a.newExchange(r, route, who, id, body))
+		a.forward(w, a.newExchange(r, route, caller, id, body))
 	}
 }
 
-// headSize returns the bytes of a request's head, but for its line ends.
-func headSize(r *http.Request) int {
+// headerSize returns the size of a request line and headers.
+func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
@@ -98,19 +98,19 @@
 	return size
 }
 
-// readBody reads the whole body before anything is sent on, so that a request that
-// ends early runs nowhere.
+// readBody reads the full body before anything is forwarded, so that a truncated request is
+// never run.
 func (a *Agent) readBody(w http.ResponseWriter, r *http.Request, id string, limit int64) ([]byte, bool) {
 	if limit > 0 {
 		if r.ContentLength > limit {
 			w.Header().Set("Connection", "close")
-			a.refuse(w, id, http.StatusRequestEntityTooLarge, 0, reasonLargeBody)
+			a.refuse(w, id, http.StatusRequestEntityTooLarge, 0, reasonBodyTooLarge)
 			return nil, false
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyWithin))
+	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	body, err := io.ReadAll(r.Body)
 	_ = control.SetReadDeadline(time.Time{})
 	if err == nil {
@@ -119,14 +119,14 @@
 	w.Header().Set("Connection", "close")
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		a.refuse(w, id, http.StatusRequestEntityTooLarge, 0, reasonLargeBody)
+		a.refuse(w, id, http.StatusRequestEntityTooLarge, 0, reasonBodyTooLarge)
 	} else {
-		a.refuse(w, id, http.StatusRequestTimeout, 0, reasonCutBody)
+		a.refuse(w, id, http.StatusRequestTimeout, 0, reasonIncompleteBody)
 	}
 	return nil, false
 }
 
-// refuse answers with a failure of this node's own.
+// refuse responds with an error generated by this node.
 func (a *Agent) refuse(w http.ResponseWriter, id string, status int, after time.Duration, reason string, fields ...any) {
 	if id != "" {
 		a.protocol.SetRequestID(w.Header(), id)
@@ -139,7 +139,7 @@
 		Error string `json:"error"`
 	}{reason})
 	if err != nil {
-		panic("a refusal must encode: " + err.Error())
+		panic("encode refusal: " + err.Error())
 	}
 	w.WriteHeader(status)
 	_, _ = w.Write(content)
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -15,33 +15,33 @@
 	"github.com/doorstep/doorstep/internal/request/relay"
 )
 
-// eventStream is the content type of a series of events.
+// eventStream is the media type of server-sent events.
 const eventStream = "text/event-stream"
 
-// relayedStream is the answer to a caller that is passed on event by event.
+// relayedStream is a streaming response that is relayed event by event.
 type relayedStream struct {
 	*exchange
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	begun   bool
-	// status is that of the last replica's answer.
+	writer     http.ResponseWriter
+	control    *http.ResponseController
+	headerSent bool
+	// status is the status of the latest replica response.
 	status int
 	last   int64
-	// gone is set once the caller can't be written to.
-	gone bool
+	// clientGone is set once a write to the client fails.
+	clientGone bool
 }
 
-// forwardStream relays a series of events, which may be continued at another replica
-// where the route allows it. The head is that of the first replica.
+// forwardStream relays an event stream, resuming at another replica if the route allows it.
+// The response headers are those of the first replica.
 func (a *Agent) forwardStream(w http.ResponseWriter, x *exchange) {
-	if !x.letThrough(w) {
+	if !x.mayForward(w) {
 		return
 	}
 	s := &relayedStream{exchange: x, writer: w, control: http.NewResponseController(w)}
 	s.last, _ = strconv.ParseInt(a.protocol.LastEvent(x.request.Header), 10, 64)
-	leaving := x.request.Context()
-	defer a.useReplicas(leaving, x.route)()
-	ctx, cancel := context.WithDeadline(leaving, s.relay.Deadline())
+	clientCtx := x.request.Context()
+	defer a.followReplicas(clientCtx, x.route)()
+	ctx, cancel := context.WithDeadline(clientCtx, s.relay.Deadline())
 	defer cancel()
 	for {
 		now := time.Now()
@@ -55,21 +55,21 @@
 			s.fail(decision)
 			return
 		}
-		if s.gone || leaving.Err() != nil {
+		if s.clientGone || clientCtx.Err() != nil {
 			return
 		}
 	}
 }
 
-// fail ends the answer: with a status if nothing was sent yet, else by breaking it
-// off, so that it doesn't look complete.
+// fail ends the response: with an error status if nothing was sent yet, or else by aborting
+// the connection, so that the stream does not look complete.
 func (s *relayedStream) fail(decision relay.Decision) {
-	if !s.begun {
+	if !s.headerSent {
 		decision = s.coldRefusal(decision)
 		s.agent.refuse(s.writer, s.id, decision.Status, decision.RetryAfter, decision.Reason)
 		return
 	}
-	s.agent.log.add(event.RequestRefused, "request", s.id, "reason", "the stream broke: "+decision.Reason, "last_event", s.last)
+	s.agent.log.add(event.RequestRefused, "request", s.id, "reason", "stream interrupted: "+decision.Reason, "last_event", s.last)
 	panic(http.ErrAbortHandler)
 }
 
@@ -81,71 +81,71 @@
 	}
 	s.relay.Launched(now)
 	s.launched++
-	outcome, err := s.pass(ctx, chosen)
+	outcome, err := s.relayFrom(ctx, chosen)
 	ended := &attempt{endpoint: chosen, outcome: outcome, status: s.status, err: err, crashed: s.agent.crashed(ctx, chosen.Address, outcome)}
 	s.relay.Ended(outcome)
 	s.agent.metrics.attempt(outcome)
 	s.agent.do(func(now time.Time) {
 		chosen.InFlight--
-		s.account(now, ended, now.Sub(s.started), ctx.Err() != nil)
-		s.noteRun(now, ended)
+		s.recordAttempt(now, ended, now.Sub(s.started), ctx.Err() != nil)
+		s.reportToQuarantine(now, ended)
 	})
 	if outcome != relay.Answered {
 		s.agent.log.add(event.AttemptEnded, "request", s.id, "replica", chosen.ID, "outcome", int(outcome), "error", errorText(err),
-			"last_event", s.last, "fingerprint", s.asked.Fingerprint.String(), "crashed", ended.crashed)
+			"last_event", s.last, "fingerprint", s.identity.Fingerprint.String(), "crashed", ended.crashed)
 	}
 }
 
-// pass sends the request to a replica and passes its events on.
-func (s *relayedStream) pass(ctx context.Context, chosen *endpoint.Endpoint) (relay.Outcome, error) {
-	call := s.call(chosen, s.relay.Left(time.Now()))
-	if s.begun {
+// relayFrom sends the request to a replica and relays its events.
+func (s *relayedStream) relayFrom(ctx context.Context, chosen *endpoint.Endpoint) (relay.Outcome, error) {
+	call := s.newCall(chosen, s.relay.Left(time.Now()))
+	if s.headerSent {
 		s.agent.protocol.Resume(call.Header, strconv.FormatInt(s.last, 10))
 	}
 	sentAt := s.agent.clock.Now()
 	answer, err := s.agent.upstream.Do(ctx, call)
 	if err != nil {
-		s.countBegun(sentAt, failedOutcome(err))
-		return failedOutcome(err), err
+		s.countStarted(sentAt, errorOutcome(err))
+		return errorOutcome(err), err
 	}
 	defer answer.Close()
 	s.status = answer.Status
 	if !s.agent.protocol.NotExecuted(answer.Status, answer.Header) {
-		s.countBegun(sentAt, relay.Answered)
+		s.countStarted(sentAt, relay.Answered)
 	}
 	if answer.Status != http.StatusOK || !strings.HasPrefix(answer.Header.Get("Content-Type"), eventStream) {
-		return s.passWhole(chosen, answer)
+		return s.relayBuffered(chosen, answer)
 	}
-	s.begin(answer)
-	return s.passEvents(answer)
+	s.writeHeader(answer)
+	return s.relayEvents(answer)
 }
 
-// passWhole passes an answer on that is no stream, unless events were sent before.
-func (s *relayedStream) passWhole(chosen *endpoint.Endpoint, answer *upstream.Answer) (relay.Outcome, error) {
+// relayBuffered relays a response that is not an event stream, unless events were already sent.
+func (s *relayedStream) relayBuffered(chosen *endpoint.Endpoint, answer *upstream.Answer) (relay.Outcome, error) {
 	ended := &attempt{endpoint: chosen, status: answer.Status, header: answer.Header}
-	ended.body, ended.err = io.ReadAll(io.LimitReader(answer, answerBytes))
-	ended.outcome = s.agent.outcome(ended)
-	if ended.outcome == relay.NotRun || ended.outcome == relay.Broken || s.begun {
+	ended.body, ended.err = io.ReadAll(io.LimitReader(answer, maxResponseBytes))
+	ended.outcome = s.agent.responseOutcome(ended)
+	if ended.outcome == relay.NotRun || ended.outcome == relay.Broken || s.headerSent {
 		return ended.outcome, ended.err
 	}
 	s.deliver(s.writer, ended)
 	return relay.Answered, nil
 }
 
-func (s *relayedStream) begin(answer *upstream.Answer) {
-	if s.begun {
+func (s *relayedStream) writeHeader(answer *upstream.Answer) {
+	if s.headerSent {
 		return
 	}
-	s.begun = true
-	copyAnswerHeaders(s.writer.Header(), answer.Header)
+	s.headerSent = true
+	copyResponseHeaders(s.writer.Header(), answer.Header)
 	s.writer.WriteHeader(answer.Status)
 	_ = s.control.Flush()
 }
 
-func (s *relayedStream) passEvents(answer *upstream.Answer) (relay.Outcome, error) {
+func (s *relayedStream) relayEvents(answer *upstream.Answer) (relay.Outcome, error) {
 	events := s.agent.protocol.NewEventReader(answer)
 	for {
-		one, err := events.Next()
+		received, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			s.agent.log.add(event.RequestAnswered, "request", s.id, "status", answer.Status, "attempts", s.launched,
 				"took_ms", s.agent.since(s.started).Milliseconds(), "last_event", s.last)
@@ -155,16 +155,16 @@
 		if err != nil {
 			return relay.Broken, err
 		}
-		if s.last > 0 && one.ID != s.last+1 {
+		if s.last > 0 && received.ID != s.last+1 {
 			return relay.Broken, errEventMissing
 		}
-		if _, err := io.WriteString(s.writer, one.Raw); err != nil || s.control.Flush() != nil {
-			s.gone = true
+		if _, err := io.WriteString(s.writer, received.Raw); err != nil || s.control.Flush() != nil {
+			s.clientGone = true
 			return relay.Broken, err
 		}
-		s.last = one.ID
+		s.last = received.ID
 	}
 }
 
-// errEventMissing says that a replica's events do not follow one another.
-var errEventMissing = errors.New("an event is missing or stands twice")
+// errEventMissing reports event IDs that are not consecutive.
+var errEventMissing = errors.New("event IDs are not consecutive")
--- a/internal/process/agent/suspend.go
+++ b/internal/process/agent/suspend.go
@@ -7,12 +7,12 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// resume notes that the machine was suspended, for so long in all. Orders and calls of duties that
-// are under way end: another node may have acted since they were decided on, and their time-outs
-// stood still.
-func (a *Agent) resume(suspended time.Duration) {
-	a.log.add(event.MachineResumed, "suspended_ms", (suspended - a.suspended).Milliseconds())
-	a.suspended = suspended
-	a.endActs()
-	a.acts, a.endActs = context.WithCancel(a.base)
+// handleResume records that the machine was suspended; suspended is the total so far. It cancels
+// in-flight orders and duty calls: another node may have acted in the meantime, and their timeouts
+// did not advance.
+func (a *Agent) handleResume(suspended time.Duration) {
+	a.log.add(event.MachineResumed, "suspended_ms", (suspended - a.totalSuspended).Milliseconds())
+	a.totalSuspended = suspended
+	a.cancelLeaseContext()
+	a.leaseContext, a.cancelLeaseContext = context.WithCancel(a.base)
 }
--- a/internal/process/agent/tenant.go
+++ b/internal/process/agent/tenant.go
@@ -7,14 +7,14 @@
 	"github.com/doorstep/doorstep/internal/version/routes"
 )
 
-// Reasons of refusals for the sake of a caller's key.
+// Reasons for refusals due to the caller's key.
 const (
 	reasonNoKey       = "an API key is needed"
 	reasonUnknownKey  = "the API key is not known"
 	reasonUnconfirmed = "the API key can't be confirmed at present"
 )
 
-// identify finds who makes a call and whether it is let in.
+// identify authenticates a caller and decides whether to admit it.
 func (a *Agent) identify(table *routes.Table, header http.Header, anonymous bool) (access.Caller, access.Verdict) {
 	policy := access.Policy{Strict: a.settings.Tenants.Strict, Revocation: a.settings.Tenants.Revocation()}
 	call := access.Call{Anonymous: anonymous}
@@ -25,22 +25,22 @@
 	return policy.Judge(table, call, age)
 }
 
-// admit is identify for calls that can be refused at once.
+// admit calls identify and responds if the caller is not admitted.
 func (a *Agent) admit(w http.ResponseWriter, r *http.Request, id string, table *routes.Table, anonymous bool) (access.Caller, bool) {
-	who, verdict := a.identify(table, r.Header, anonymous)
+	caller, verdict := a.identify(table, r.Header, anonymous)
 	if verdict != access.Admitted {
 		a.refuseKey(w, id, verdict)
-		return who, false
+		return caller, false
 	}
-	return who, true
+	return caller, true
 }
 
-// refuseKey answers a caller that is not let in.
+// refuseKey responds to a caller that was not admitted.
 func (a *Agent) refuseKey(w http.ResponseWriter, id string, verdict access.Verdict) {
 	reason := reasonNoKey
 	switch verdict {
 	case access.Unconfirmed:
-		a.refuse(w, id, http.StatusServiceUnavailable, comeBack, reasonUnconfirmed)
+		a.refuse(w, id, http.StatusServiceUnavailable, defaultRetryAfter, reasonUnconfirmed)
 		return
 	case access.UnknownKey:
 		reason = reasonUnknownKey
@@ -50,15 +50,15 @@
 	a.refuse(w, id, http.StatusUnauthorized, 0, reason)
 }
 
-// mark puts the caller's tenant into the head of a request to a replica, in the place of the key.
-func (a *Agent) mark(header http.Header, who access.Caller) {
-	if who.Told {
-		a.protocol.SetTenant(header, who.Tenant)
+// setTenantHeader replaces the caller's key with its tenant in a request to a replica.
+func (a *Agent) setTenantHeader(header http.Header, caller access.Caller) {
+	if caller.Told {
+		a.protocol.SetTenant(header, caller.Tenant)
 	}
 }
 
-// jobCaller is the caller on whose behalf the items of a job run. A job that was handed in with
-// a key keeps its tenant whatever the configuration says later.
+// jobCaller returns the caller that a job's items run as. A job keeps the tenant that submitted it even
+// if the configuration changes.
 func (a *Agent) jobCaller(tenant string) access.Caller {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/process/agent/trainer.go
+++ b/internal/process/agent/trainer.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// trainerPrefix begins the paths of trainers' calls.
+	// trainerPrefix is the path prefix of the trainer API.
 	trainerPrefix = "/v1/experiments/"
-	// pullWait is how long a pull is held unless it says, longestPull the most.
-	pullWait    = 10 * time.Second
-	longestPull = 60 * time.Second
-	// publishWait bounds calls that only write.
-	publishWait = 5 * time.Second
-	// comeBackToStep is when a trainer is told to pull again.
-	comeBackToStep = 500 * time.Millisecond
-	// versionBytes bounds the body of a trainer's call.
-	versionBytes = 4 << 10
+	// defaultPullWait and maxPullWait are the default and longest wait of a pull.
+	defaultPullWait = 10 * time.Second
+	maxPullWait     = 60 * time.Second
+	// writeTimeout bounds acknowledgements and version updates.
+	writeTimeout = 5 * time.Second
+	// stepRetryAfter is the Retry-After value of a step that is not ready.
+	stepRetryAfter = 500 * time.Millisecond
+	// maxVersionBodyBytes bounds the request body of a version update.
+	maxVersionBodyBytes = 4 << 10
 )
 
-// newTrainerMux serves trainers of experiments.
+// newTrainerMux returns the handler of the trainer API.
 func (a *Agent) newTrainerMux() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+trainerPrefix+"{experiment}/trainers/{trainer}/steps/{step}", a.pullStep)
@@ -63,46 +63,46 @@
 	}
 }
 
-// isTrainerCall reports whether a path is a trainer's. Routes of the deployment go before.
+// isTrainerCall reports whether a request is for the trainer API. Configured routes take precedence.
 func isTrainerCall(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, trainerPrefix) }
 
-// tenantOfTrainer is the key of a request's context under which its trainer's tenant stands.
-type tenantOfTrainer struct{}
+// trainerTenantKey is the context key of the trainer's tenant.
+type trainerTenantKey struct{}
 
-// serveTrainer takes a trainer's call. Where there are tenants it needs a key.
+// serveTrainer handles a trainer's call, which needs a key if there are tenants.
 func (a *Agent) serveTrainer(w http.ResponseWriter, r *http.Request, table *routes.Table) {
-	who, ok := a.admit(w, r, "", table, false)
+	caller, ok := a.admit(w, r, "", table, false)
 	if !ok {
 		return
 	}
-	a.trainers.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), tenantOfTrainer{}, who.Tenant)))
+	a.trainerMux.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), trainerTenantKey{}, caller.Tenant)))
 }
 
-func stepOf(r *http.Request) (experiment.Step, bool) {
+func parseStep(r *http.Request) (experiment.Step, bool) {
 	number, err := strconv.ParseInt(r.PathValue("step"), 10, 64)
-	tenant, _ := r.Context().Value(tenantOfTrainer{}).(string)
+	tenant, _ := r.Context().Value(trainerTenantKey{}).(string)
 	step := experiment.Step{Experiment: r.PathValue("experiment"), Trainer: r.PathValue("trainer"), Number: number, Tenant: tenant}
 	return step, err == nil && number > 0
 }
 
-// pullStep answers with a step's samples once they are whole.
+// pullStep responds with a step's samples once they are complete.
 func (a *Agent) pullStep(w http.ResponseWriter, r *http.Request) {
-	step, ok := stepOf(r)
+	step, ok := parseStep(r)
 	if !ok {
 		a.refuse(w, "", http.StatusBadRequest, 0, "the step is a number from 1")
 		return
 	}
-	held := pullWait
+	maxWait := defaultPullWait
 	if text := r.URL.Query().Get("wait"); text != "" {
-		wanted, err := time.ParseDuration(text)
-		if err != nil || wanted < 0 {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested < 0 {
 			a.refuse(w, "", http.StatusBadRequest, 0, "wait is a time such as 30s")
 			return
 		}
-		held = min(wanted, longestPull)
+		maxWait = min(requested, maxPullWait)
 	}
 	startedAt := time.Now()
-	ctx, cancel := context.WithTimeout(r.Context(), held)
+	ctx, cancel := context.WithTimeout(r.Context(), maxWait)
 	defer cancel()
 	reply := a.steps.Pull(ctx, step)
 	if reply.Status != experiment.Done {
@@ -117,14 +117,14 @@
 	}{step.Number, reply.Samples})
 }
 
-// acknowledgeStep notes that a step's samples are safe.
+// acknowledgeStep records that the trainer has stored a step's samples.
 func (a *Agent) acknowledgeStep(w http.ResponseWriter, r *http.Request) {
-	step, ok := stepOf(r)
+	step, ok := parseStep(r)
 	if !ok {
 		a.refuse(w, "", http.StatusBadRequest, 0, "the step is a number from 1")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), publishWait)
+	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
 	defer cancel()
 	reply := a.steps.Acknowledge(ctx, step)
 	if reply.Status != experiment.Done {
@@ -134,22 +134,22 @@
 	w.WriteHeader(http.StatusNoContent)
 	step.Number++
 	go func() {
-		ctx, cancel := context.WithTimeout(a.base, publishWait)
+		ctx, cancel := context.WithTimeout(a.base, writeTimeout)
 		defer cancel()
 		a.steps.RunAhead(ctx, step)
 	}()
 }
 
-// publishVersion names a newer version of the experiment's policy.
+// publishVersion records a newer version of the experiment's policy.
 func (a *Agent) publishVersion(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Version int64 `json:"version"`
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, versionBytes)).Decode(&body); err != nil || body.Version < 1 {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxVersionBodyBytes)).Decode(&body); err != nil || body.Version < 1 {
 		a.refuse(w, "", http.StatusBadRequest, 0, `the body is {"version": N}, N from 1`)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), publishWait)
+	ctx, cancel := context.WithTimeout(r.Context(), writeTimeout)
 	defer cancel()
 	reply := a.steps.Publish(ctx, r.PathValue("experiment"), r.PathValue("trainer"), body.Version)
 	if reply.Status != experiment.Done {
@@ -166,32 +166,32 @@
 	case experiment.Refused:
 		a.refuse(w, "", http.StatusConflict, 0, reply.Reason)
 	case experiment.NotReady, experiment.Unavailable, experiment.Done:
-		a.refuse(w, "", http.StatusServiceUnavailable, comeBackToStep, reply.Reason)
+		a.refuse(w, "", http.StatusServiceUnavailable, stepRetryAfter, reply.Reason)
 	}
 }
 
 func writeJSON(w http.ResponseWriter, body any) {
 	content, err := json.Marshal(body)
 	if err != nil {
-		panic("an answer must encode: " + err.Error())
+		panic("encode response: " + err.Error())
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(content)
 }
 
-// stepJobs makes steps by this node's batch jobs.
+// stepJobs runs steps as batch jobs of this node.
 type stepJobs struct{ agent *Agent }
 
-// Accept hands a job in.
+// Accept submits a job.
 func (j stepJobs) Accept(ctx context.Context, job *doorstepv1.BatchJob) bool {
-	return wait(ctx, func(done chan<- batch.Outcome) {
+	return awaitOutcome(ctx, func(done chan<- batch.Outcome) {
 		j.agent.do(func(now time.Time) {
 			j.agent.node.Jobs().Accept(now, job, func(_ time.Time, outcome batch.Outcome) { done <- outcome })
 		})
 	}) == batch.Done
 }
 
-// Whole waits until a job is whole and returns its results.
+// Whole waits until a job is complete and returns its results.
 func (j stepJobs) Whole(ctx context.Context, id string) []*doorstepv1.BatchResult {
 	until, _ := ctx.Deadline()
 	var results []*doorstepv1.BatchResult
@@ -205,14 +205,14 @@
 		if len(results) >= read.state.Total {
 			return results
 		}
-		if len(read.results) == 0 && !j.agent.waitChange(ctx, changed, until) {
+		if len(read.results) == 0 && !j.agent.waitForChange(ctx, changed, until) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// End says that a job's results are not needed any more.
+// End discards a job whose results are no longer needed.
 func (j stepJobs) End(_ context.Context, id string) {
 	j.agent.do(func(now time.Time) {
 		j.agent.node.Jobs().End(now, id, func(time.Time, batch.Outcome) {})
