--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -6,120 +6,119 @@
 	"time"
 )
 
-// RouteKind says what may be done with a request of a route.
+// RouteKind determines how requests of a route may be handled.
 type RouteKind string
 
 const (
-	// RouteIdempotent requests may run more than once.
+	// RouteIdempotent allows a request to run more than once.
 	RouteIdempotent RouteKind = "idempotent"
-	// RouteNonIdempotent requests run at most once.
+	// RouteNonIdempotent allows a request to run at most once.
 	RouteNonIdempotent RouteKind = "non-idempotent"
-	// RouteStreaming requests are answered by a series of events.
+	// RouteStreaming responds with a stream of events.
 	RouteStreaming RouteKind = "streaming"
-	// RouteBatch takes batch jobs.
+	// RouteBatch accepts batch jobs.
 	RouteBatch RouteKind = "batch"
 )
 
-// Backend is one part of a route's traffic.
+// Backend is a service that receives part of a route's traffic.
 type Backend struct {
 	Service string
-	// Weight is the part's share, relative to the sum of all weights.
+	// Weight is the service's share, relative to the sum of the route's weights.
 	Weight float64
 }
 
-// Route says where requests of a host and path prefix go.
+// Route maps requests for a host and path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout is the longest that a request may be held.
+	// Timeout bounds how long a request may take.
 	Timeout time.Duration
-	// Objective is the time within which an answer is of full worth.
+	// Objective is the target response time.
 	Objective time.Duration
 	// Backends has at least one entry.
 	Backends []Backend
-	// MaxAttempts bounds the replicas that one request may be sent to.
+	// MaxAttempts bounds the number of replicas that a request is sent to.
 	MaxAttempts int
-	// Resumable streams may be continued at another replica.
+	// Resumable allows a stream to continue at another replica.
 	Resumable bool
-	// SingleVersion demands that one version makes a whole result.
+	// SingleVersion requires that one weight version generates the whole result.
 	SingleVersion bool
-	// MaxQueue is the age at which an item of a batch job may be given up.
+	// MaxQueue is the age at which an item of a batch job may be abandoned.
 	MaxQueue time.Duration
 	// ResultDeadline is the age at which a batch job's results are due.
 	ResultDeadline time.Duration
-	// AllowAnonymous takes callers without a key also where there are tenants.
+	// AllowAnonymous admits callers without a key even if there are tenants.
 	AllowAnonymous bool
-	// AllowedRegions are the only regions in which its requests may be served and kept; empty
-	// for any.
+	// AllowedRegions are the regions in which requests may be served and stored; empty
+	// for any region.
 	AllowedRegions []string
 }
 
-// Service is a set of replicas that serve alike.
+// Service is a set of interchangeable replicas.
 type Service struct {
 	Name string
-	// ConnectionLimit bounds the connections to one replica, of all nodes together.
+	// ConnectionLimit bounds the connections from all nodes to one replica.
 	ConnectionLimit int
-	// Models are those that its replicas hold.
+	// Models are the models that its replicas serve.
 	Models []string
-	// EventTokens is how many tokens one event of a stream carries, 0 if that is not told.
+	// EventTokens is the number of tokens in one stream event; 0 if unknown.
 	EventTokens int
-	// MemoryTokens is how many tokens, of prompts and of texts, a replica has memory for; 0 if
-	// that is not told.
+	// MemoryTokens is the number of prompt and completion tokens that fit in a replica's memory;
+	// 0 if unknown.
 	MemoryTokens int
-	// Scaling says how many replicas may be ordered, nil where none can be.
+	// Scaling bounds how many replicas may be ordered; nil if the service does not scale.
 	Scaling *Scaling
-	// Cold bounds what its replicas bear after a start, nil where they bear all at once.
+	// Cold limits the load on newly started replicas; nil if they need no warm-up.
 	Cold *ColdStart
 }
 
-// ColdStart bounds what a cold replica bears: well above the rate it falls over.
+// ColdStart limits the request rate of a replica that is warming up.
 type ColdStart struct {
-	// Lasts is how long a replica is cold after its start.
+	// Lasts is the length of the warm-up after a replica's start.
 	Lasts time.Duration
-	// PerSecond is the rate of requests that it bears meanwhile, of all nodes together.
+	// PerSecond is the request rate, from all nodes together, that a cold replica can handle.
 	PerSecond float64
 }
 
-// Scaling bounds the replicas of a service that can be ordered.
+// Scaling bounds the number of replicas of a service.
 type Scaling struct {
-	// Min and Max bound the replicas of each zone, of both kinds together.
+	// Min and Max bound the total number of replicas in each zone.
 	Min, Max int
-	// Boot is how long a new replica takes to serve.
+	// Boot is how long a new replica takes until it serves requests.
 	Boot time.Duration
-	// Prices are what a replica costs in each zone where the service may run, relative to the
-	// other zones.
+	// Prices are the relative costs of a replica in each zone where the service may run.
 	Prices map[string]float64
 }
 
-// IngressLimits bound what a client may send.
+// IngressLimits bound client requests.
 type IngressLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the reading of a head, IdleTimeout the time between
-	// two requests of a connection.
+	// HeaderTimeout bounds the reading of a request's headers, IdleTimeout the time between
+	// two requests on a connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// RouteTable is one version of the operators' configuration, whole.
+// RouteTable is one complete version of the routing configuration.
 type RouteTable struct {
-	// Version rises with every change.
+	// Version increases with every change.
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Limits   IngressLimits
-	// Tenants, if there are any, are the parties whose callers are served.
+	// Tenants are the parties whose callers are served; if empty, keys are not checked.
 	Tenants []Tenant
 }
 
-// ReplicaRecord is what a replica says of itself in the store.
+// ReplicaRecord is a replica's record in the store, which the replica writes.
 type ReplicaRecord struct {
-	// ID names the replica. One that starts again may keep it: ID and StartedAt together name an
-	// incarnation.
+	// ID names the replica. A replica may keep its ID across restarts: ID and StartedAt together
+	// identify an incarnation.
 	ID string
-	// StartedAt is when the incarnation started by the replica's own clock, to the millisecond; zero
-	// where replicas don't tell.
+	// StartedAt is when the incarnation started by the replica's own clock, in whole milliseconds; zero if
+	// the replica does not report it.
 	StartedAt time.Time
 	Service   string
 	Address   string
@@ -127,16 +126,15 @@
 	Slots     int
 	// Draining replicas get no new work.
 	Draining bool
-	// ColdFor is how much longer the replica is cold, as of when it wrote the record.
+	// ColdFor is the remaining warm-up time as of when the record was written.
 	ColdFor time.Duration
-	// Versions are the weights it holds, by model.
+	// Versions are the loaded weight versions, by model.
 	Versions map[string]int64
-	// Revision is that of the record, so that one that is read again is not taken for news, nor one
-	// that is read late for a newer one.
+	// Revision is the record's revision, by which stale and repeated reads are detected.
 	Revision int64
 }
 
-// Incarnation names one life of a replica.
+// Incarnation identifies one run of a replica, from start to exit.
 func (r *ReplicaRecord) Incarnation() string {
 	if r.StartedAt.IsZero() {
 		return r.ID
@@ -144,92 +142,91 @@
 	return fmt.Sprintf("%s@%d", r.ID, r.StartedAt.UnixMilli())
 }
 
-// GoneReplica is a replica whose record was deleted, or can't be used, as of a revision of the store.
+// GoneReplica is a replica whose record was deleted or became unusable at a revision of the store.
 type GoneReplica struct {
 	ID       string
 	Revision int64
 }
 
-// UnreadableRecord is a record that was left out of a change, as something in it is missing or not of
-// its type.
+// UnreadableRecord is a record that was skipped because a field is missing or has the wrong type.
 type UnreadableRecord struct {
 	Key      string
 	Revision int64
 	Reason   string
 }
 
-// Evacuation says that a zone's replicas are to get nothing, until it is lifted.
+// Evacuation is a request to send no work to a zone's replicas, or its withdrawal.
 type Evacuation struct {
 	Zone   string
 	Lifted bool
 }
 
-// VersionTarget is the newest version that was named for a model.
+// VersionTarget is the newest version published for a model.
 type VersionTarget struct {
 	Model   string
 	Version int64
 }
 
-// Deployment is a change of what the platform's store says of its surroundings.
-// Fields that are nil did not change.
+// Deployment is a change to the deployment as described in the platform's store. Nil fields did
+// not change.
 type Deployment struct {
 	Routes *RouteTable
-	// Replicas are new or changed, Gone are those without a record that can be used.
+	// Replicas were added or changed. Gone no longer have a usable record.
 	Replicas []ReplicaRecord
 	Gone     []GoneReplica
 	Targets  []VersionTarget
-	// Unreadable are records that were left out.
+	// Unreadable are records that were skipped.
 	Unreadable []UnreadableRecord
-	// Evacuations are zones whose evacuation was asked for or lifted.
+	// Evacuations are zones whose evacuation was requested or lifted.
 	Evacuations []Evacuation
 }
 
-// OrderVersion asks a replica to load a version of a model.
+// OrderVersion orders a replica to load a version of a model.
 type OrderVersion struct {
-	// Replica and Address say to whom.
+	// Replica and Address identify the recipient.
 	Replica, Address string
 	Model            string
 	Version          int64
-	// Holder and Fence are the order lease's.
+	// Holder and Fence identify the lease under which the order is sent.
 	Holder string
 	Fence  int64
-	// ExpectedSequence is the count of orders that the replica must have taken, or ProbeSequence.
+	// ExpectedSequence is the number of orders that the replica must have accepted, or ProbeSequence.
 	ExpectedSequence int64
 }
 
-// ProbeSequence is a count that no replica comes by: an order that expects it changes nothing, whenever it is
-// carried out. Its answer shows that the replica answers orders.
+// ProbeSequence is a sequence that no replica reaches. An order that expects it changes nothing, and its
+// response shows that the replica answers orders.
 const ProbeSequence = math.MaxInt32
 
-// Probe reports whether the order can't be taken by any replica.
+// Probe reports whether the order is a probe, which no replica accepts.
 func (o *OrderVersion) Probe() bool { return o.ExpectedSequence == ProbeSequence }
 
 // VersionOrderStatus is the outcome of an OrderVersion.
 type VersionOrderStatus int
 
 const (
-	// VersionOrderUnknown means that no answer came: it may be carried out later.
+	// VersionOrderUnknown means that there was no response: the order may still be executed.
 	VersionOrderUnknown VersionOrderStatus = iota
-	// VersionOrderAccepted means that the load is under way.
+	// VersionOrderAccepted means that the replica is loading the version.
 	VersionOrderAccepted
-	// VersionOrderHeld means that the replica has that version already.
+	// VersionOrderHeld means that the replica already has the version.
 	VersionOrderHeld
-	// VersionOrderConflict means that another order is under way or was taken.
+	// VersionOrderConflict means that another order is in progress or was accepted.
 	VersionOrderConflict
-	// VersionOrderFenced means that a newer holder has given orders.
+	// VersionOrderFenced means that a newer lease holder has sent orders.
 	VersionOrderFenced
-	// VersionOrderRefused means that the replica is another one or refuses.
+	// VersionOrderRefused means that the order was for another replica or was rejected.
 	VersionOrderRefused
 )
 
-// ReplicaReport is what a replica says of itself when asked.
+// ReplicaReport is the state that a replica reports on request.
 type ReplicaReport struct {
 	OK bool
-	// StartedAt is the start of the incarnation that answered, as in ReplicaRecord.
+	// StartedAt is the start of the incarnation that responded, as in ReplicaRecord.
 	StartedAt time.Time
-	// Loading says that an order is under way.
+	// Loading reports that an order is in progress.
 	Loading bool
-	// Sequence counts the orders taken in this life.
+	// Sequence is the number of orders accepted since the start.
 	Sequence int64
 	Versions map[string]int64
 	Running  int
--- a/internal/port/duty.go
+++ b/internal/port/duty.go
@@ -2,45 +2,45 @@
 
 import "context"
 
-// UsageReport tells the platform how many requests of each tenant began to run in a window.
+// UsageReport reports the number of requests that each tenant started in a window.
 type UsageReport struct {
-	// Window is the window's number: that many lengths after the start of 1970.
+	// Window is the window's number, counted in window lengths since the Unix epoch.
 	Window   int64
 	Requests map[string]int64
-	// Holder and Fence are the lease's.
+	// Holder and Fence identify the lease.
 	Holder string
 	Fence  int64
 }
 
-// ReplicaOrder sets how many replicas of a service a zone should have.
+// ReplicaOrder sets the desired number of a service's replicas in a zone.
 type ReplicaOrder struct {
 	Service, Zone string
 	Replicas      int
-	// Holder and Fence are the lease's.
+	// Holder and Fence identify the lease.
 	Holder string
 	Fence  int64
 }
 
-// DutyStatus is the outcome of a call to the platform that one node at a time may make.
+// DutyStatus is the outcome of a duty call.
 type DutyStatus int
 
 const (
-	// DutyUnknown means that no answer came: it may be carried out later.
+	// DutyUnknown means that there was no response: the call may still take effect.
 	DutyUnknown DutyStatus = iota
 	// DutyDone means success.
 	DutyDone
-	// DutyFenced means that a newer holder has called.
+	// DutyFenced means that a newer lease holder has made a call.
 	DutyFenced
-	// DutyRefused means that nothing was done, for load or an outage.
+	// DutyRefused means that nothing was done, because of overload or an outage.
 	DutyRefused
 )
 
-// String names the status as logs do.
+// String returns the status as used in logs.
 func (s DutyStatus) String() string {
 	return [...]string{"unknown", "done", "fenced", "refused"}[s]
 }
 
-// DutyService is the platform's interface for calls that one node at a time may make.
+// DutyService is the platform's interface for duties: calls that only one node, the lease holder, may make.
 type DutyService interface {
 	ReportUsage(ctx context.Context, report UsageReport) DutyStatus
 	OrderReplicas(ctx context.Context, order ReplicaOrder) DutyStatus
--- a/internal/port/homes.go
+++ b/internal/port/homes.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Homes are the regions in which requests may be served and kept. The zero value allows any region.
+// Homes restricts the regions in which requests may be served and stored. The zero value allows any region.
 type Homes struct {
-	// Bound says that only Regions are allowed; with none of them it is nowhere.
+	// Bound restricts requests to Regions. If Regions is empty, no region is allowed.
 	Bound   bool
 	Regions []string
 }
 
-// NewHomes returns the homes that a route or a tenant names; an empty list names none.
+// NewHomes returns the regions that a route or a tenant configures; an empty list allows any.
 func NewHomes(regions []string) Homes { return Homes{Bound: len(regions) > 0, Regions: regions} }
 
-// And returns the homes that two parties allow: both bind.
+// And returns the regions that both h and other allow.
 func (h Homes) And(other Homes) Homes {
 	switch {
 	case !h.Bound:
@@ -29,7 +29,7 @@
 	return both
 }
 
-// Allow reports whether a region is among the homes. One that is not known is not, where homes bind.
+// Allow reports whether a region is allowed. If regions are restricted, an unknown region is not.
 func (h Homes) Allow(region string) bool {
 	return !h.Bound || region != "" && slices.Contains(h.Regions, region)
 }
--- a/internal/port/homes_test.go
+++ b/internal/port/homes_test.go
@@ -9,19 +9,19 @@
 		region        string
 		allowed       bool
 	}{
-		{"none named", nil, nil, "south", true},
-		{"none named, a region that is not known", nil, nil, "", true},
-		{"the route's", []string{"north", "east"}, nil, "east", true},
-		{"not the route's", []string{"north"}, nil, "south", false},
-		{"the tenant's", nil, []string{"south"}, "south", true},
-		{"not the tenant's", nil, []string{"south"}, "north", false},
-		{"of both", []string{"north", "east"}, []string{"east", "south"}, "east", true},
-		{"of one alone", []string{"north", "east"}, []string{"east", "south"}, "north", false},
-		{"nothing in common", []string{"north"}, []string{"south"}, "north", false},
-		{"a region that is not known", []string{"north"}, nil, "", false},
+		{"unrestricted", nil, nil, "south", true},
+		{"unrestricted, unknown region", nil, nil, "", true},
+		{"allowed by route", []string{"north", "east"}, nil, "east", true},
+		{"not allowed by route", []string{"north"}, nil, "south", false},
+		{"allowed by tenant", nil, []string{"south"}, "south", true},
+		{"not allowed by tenant", nil, []string{"south"}, "north", false},
+		{"allowed by both", []string{"north", "east"}, []string{"east", "south"}, "east", true},
+		{"allowed by route only", []string{"north", "east"}, []string{"east", "south"}, "north", false},
+		{"disjoint", []string{"north"}, []string{"south"}, "north", false},
+		{"restricted, unknown region", []string{"north"}, nil, "", false},
 	} {
 		if got := NewHomes(c.route).And(NewHomes(c.tenant)).Allow(c.region); got != c.allowed {
-			t.Errorf("%s: allowed %t, should be %t", c.name, got, c.allowed)
+			t.Errorf("%s: allowed %t, want %t", c.name, got, c.allowed)
 		}
 	}
 }
--- a/internal/port/operator.go
+++ b/internal/port/operator.go
@@ -6,50 +6,50 @@
 	doorstepv1 "github.com/doorstep/doorstep/api/doorstep/v1"
 )
 
-// OperatorCall is one statement of an operator, already parsed.
+// OperatorCall is a parsed statement of an operator.
 type OperatorCall struct {
-	// Operator is who asks.
+	// Operator is the caller's name.
 	Operator string
-	// Token makes a repeat of a command have one effect.
+	// Token makes retries of a command idempotent.
 	Token string
-	// IfRevision, when not 0, refuses a command unless it is the present revision.
+	// IfRevision, if not 0, rejects a command unless it matches the current revision.
 	IfRevision uint64
-	// Text is the statement as written, for the history.
+	// Text is the statement as written, kept in the history.
 	Text string
 	// Query is set for queries, Command for commands.
 	Query   *Query
 	Command *Command
-	// Explain asks what the command would change without changing it.
+	// Explain requests the effects of a command without executing it.
 	Explain bool
 }
 
-// Query asks for rows of a subject.
+// Query selects rows of a subject.
 type Query struct {
-	// Subject is what to list, such as "replicas".
+	// Subject is the kind of rows, such as "replicas".
 	Subject string
-	// Where holds conditions that all must hold.
+	// Where lists conditions, all of which must be met.
 	Where []Comparison
-	// CountBy, when set, counts rows by that column.
+	// CountBy, if set, counts the rows by that column.
 	CountBy string
-	// OrderBy, when set, sorts by that column; Descending reverses it.
+	// OrderBy, if set, sorts the rows by that column; Descending reverses the order.
 	OrderBy    string
 	Descending bool
-	// Limit bounds the rows; 0 for no bound.
+	// Limit bounds the number of rows; 0 means no limit.
 	Limit int
 }
 
-// Comparison compares a column with a value.
+// Comparison compares a column with a constant.
 type Comparison struct {
-	// Column names the column, Operator is one of = != < > <= >=, Value the constant.
+	// Operator is one of = != < > <= >=.
 	Column   string
 	Operator string
 	Value    string
 }
 
-// CommandKind names a command.
+// CommandKind is the name of a command.
 type CommandKind string
 
-// The commands of the operators' language.
+// The commands of the operator language.
 const (
 	CreateExperiment CommandKind = "create experiment"
 	AlterExperiment  CommandKind = "alter experiment"
@@ -67,63 +67,59 @@
 
 // Command changes the configuration.
 type Command struct {
-	// Kind names the command.
 	Kind CommandKind
-	// Experiment is the experiment named, Other a second one.
+	// Experiment is the experiment to change, Other a second one.
 	Experiment string
 	Other      string
-	// Settings are the experiment's fields named in the statement, by their name.
+	// Settings are the experiment's fields set in the statement.
 	Settings []Setting
-	// From and To are the policies of a swap.
+	// From and To are the old and new policy of a swap.
 	From string
 	To   string
-	// Share and OtherShare are the parts of two experiments that run side by side.
+	// Share and OtherShare are the traffic shares of two experiments that run side by side.
 	Share      uint32
 	OtherShare uint32
-	// Drain is what a drain or undrain names.
+	// Drain is the target of a drain or undrain.
 	Drain *doorstepv1.Drain
-	// Request is the fingerprint of the request whose quarantine is lifted.
+	// Request is the fingerprint of the request to release from quarantine.
 	Request string
-	// Clock is the record store's steady clock at which the command was carried out.
+	// Clock is the record store's monotonic clock when the command was executed.
 	Clock time.Duration
-	// Token is the token asked about by status.
+	// Token is the token that a status command asks about.
 	Token string
 }
 
-// Setting is one field of an experiment as written in a statement.
+// Setting is a field of an experiment, as written in a statement.
 type Setting struct {
-	// Name is the field's name in the language, Values its value or values.
 	Name   string
 	Values []string
 }
 
-// CommandStatus is what became of a command.
+// CommandStatus is the outcome of a statement.
 type CommandStatus string
 
 const (
-	// Accepted means that the store holds the change: nodes act on it within seconds.
+	// Accepted means that the change is stored; nodes apply it within seconds.
 	Accepted CommandStatus = "accepted"
-	// Refused means that nothing was changed.
+	// Refused means that nothing changed.
 	Refused CommandStatus = "refused"
-	// Undecided means that the store has not answered: ask again with the token.
+	// Undecided means that the store has not responded; ask again with the token.
 	Undecided CommandStatus = "undecided"
-	// Answered is the status of a query.
+	// Answered is the outcome of a query.
 	Answered CommandStatus = "answered"
 )
 
-// OperatorReply answers a statement.
+// OperatorReply is the response to a statement.
 type OperatorReply struct {
-	// Status is what became of the statement.
 	Status CommandStatus `json:"status"`
-	// Reason says why, for a person.
+	// Reason explains the status to the operator.
 	Reason string `json:"reason,omitempty"`
-	// Token repeats the command's token.
-	Token string `json:"token,omitempty"`
-	// Revision is the revision recorded, or the present one after a refusal.
+	Token  string `json:"token,omitempty"`
+	// Revision is the revision of the change or, if the command was refused, the current one.
 	Revision uint64 `json:"revision,omitempty"`
-	// Columns and Rows are a query's answer.
+	// Columns and Rows are the result of a query.
 	Columns []string   `json:"columns,omitempty"`
 	Rows    [][]string `json:"rows,omitempty"`
-	// AgeMilliseconds is how long gathering the rows took: none is older.
+	// AgeMilliseconds is how long it took to collect the rows, which bounds their age.
 	AgeMilliseconds int64 `json:"age_milliseconds,omitempty"`
 }
--- a/internal/port/stream.go
+++ b/internal/port/stream.go
@@ -1,18 +1,18 @@
 package port
 
-// ReplicaEvent is one event of a replica's stream.
+// ReplicaEvent is an event of a replica's stream.
 type ReplicaEvent struct {
-	// ID numbers the event within its stream, one up from the event before.
+	// ID is the event's number within its stream; IDs are consecutive.
 	ID int64
 	// Data is the event's payload.
 	Data string
-	// Version is that of the weights from this event on, 0 when unchanged.
+	// Version is the weight version from this event on; 0 if unchanged.
 	Version int64
-	// Raw is the event as it came, with the line that ends it.
+	// Raw is the event as received, including the line that ends it.
 	Raw string
 }
 
-// EventReader reads whole events. Next returns io.EOF at the proper end.
+// EventReader reads complete events. Next returns io.EOF once the stream has ended normally.
 type EventReader interface {
 	Next() (ReplicaEvent, error)
 }
--- a/internal/port/topology.go
+++ b/internal/port/topology.go
@@ -1,15 +1,15 @@
 package port
 
-// Topology says where this node stands and which region each zone lies in. The zero value is a
-// deployment of one region, in which nothing is far.
+// Topology describes the node's location and the region of each zone. The zero value is a
+// deployment in a single region.
 type Topology struct {
 	// Zone and Region are the node's own.
 	Zone, Region string
-	// Regions holds the region of each zone of the deployment, by the zone's name.
+	// Regions maps the deployment's zones to their regions.
 	Regions map[string]string
 }
 
-// RegionOf returns the region of a zone, empty if it is not known.
+// RegionOf returns the region of a zone; empty if unknown.
 func (t Topology) RegionOf(zone string) string {
 	if zone == t.Zone {
 		return t.Region
@@ -17,7 +17,7 @@
 	return t.Regions[zone]
 }
 
-// Several reports whether the deployment is known to lie in more than one region.
+// Several reports whether the deployment spans more than one region.
 func (t Topology) Several() bool {
 	for _, region := range t.Regions {
 		if region != t.Region {
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -127,9 +127,9 @@
 	ReadSettings func() (*settings.Settings, error)
 }
 
-// Run serves until ctx ends and then shuts down gracefully. Cancelling hurry stops it
+// Run serves until ctx ends and then shuts down gracefully. Cancelling abort stops it
 // immediately.
-func Run(ctx, hurry context.Context, options Options) error {
+func Run(ctx, abort context.Context, options Options) error {
 	requests, err := net.Listen("tcp", options.Settings.Listen.Requests)
 	if err != nil {
 		return oops.Code("listen_requests").With("address", options.Settings.Listen.Requests).Wrapf(err, "listening for requests")
@@ -139,7 +139,7 @@
 		_ = requests.Close()
 		return oops.Code("listen_readiness").With("address", options.Settings.Listen.Readiness).Wrapf(err, "listening for readiness")
 	}
-	serving, stopServing := context.WithCancel(hurry)
+	serving, stopServing := context.WithCancel(abort)
 	defer stopServing()
 	a := newAgent(serving, options)
 	go a.log.run(serving)
@@ -149,8 +149,8 @@
 	go func() { _ = probes.Serve(readiness) }()
 	a.serveMetrics(serving)
 	a.loop(ctx, serving, options)
-	if hurry.Err() == nil {
-		shutdown, cancel := context.WithTimeout(hurry, shutdownTimeout)
+	if abort.Err() == nil {
+		shutdown, cancel := context.WithTimeout(abort, shutdownTimeout)
 		defer cancel()
 		_ = server.Shutdown(shutdown)
 		_ = probes.Shutdown(shutdown)
