--- a/internal/port/homes.go
+++ b/internal/port/homes.go
@@ -2,25 +2,27 @@
 
 import "slices"
 
-// Homes restricts the regions in which requests may be served and stored. The zero value allows any region.
-type Homes struct {
+// AllowedRegions restricts the regions in which requests may be served and stored. The zero value allows any region.
+type AllowedRegions struct {
 	// Bound restricts requests to Regions. If Regions is empty, no region is allowed.
 	Bound   bool
 	Regions []string
 }
 
 // NewHomes returns the regions that a route or a tenant configures; an empty list allows any.
-func NewHomes(regions []string) Homes { return Homes{Bound: len(regions) > 0, Regions: regions} }
+func NewHomes(regions []string) AllowedRegions {
+	return AllowedRegions{Bound: len(regions) > 0, Regions: regions}
+}
 
 // And returns the regions that both h and other allow.
-func (h Homes) And(other Homes) Homes {
+func (h AllowedRegions) And(other AllowedRegions) AllowedRegions {
 	switch {
 	case !h.Bound:
 		return other
 	case !other.Bound:
 		return h
 	}
-	both := Homes{Bound: true}
+	both := AllowedRegions{Bound: true}
 	for _, region := range h.Regions {
 		if slices.Contains(other.Regions, region) {
 			both.Regions = append(both.Regions, region)
@@ -30,6 +32,6 @@
 }
 
 // Allow reports whether a region is allowed. If regions are restricted, an unknown region is not.
-func (h Homes) Allow(region string) bool {
+func (h AllowedRegions) Allow(region string) bool {
 	return !h.Bound || region != "" && slices.Contains(h.Regions, region)
 }
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -11,9 +11,9 @@
 
 // Homes returns the regions in which requests of a route and a tenant may be served and kept, by the
 // configuration in force.
-func (n *Node) Homes(route *port.Route, tenant string) port.Homes {
+func (n *Node) Homes(route *port.Route, tenant string) port.AllowedRegions {
 	if n.routes == nil {
-		return port.Homes{}
+		return port.AllowedRegions{}
 	}
 	return n.routes.Homes(route, tenant)
 }
@@ -49,7 +49,7 @@
 }
 
 // within returns the endpoints that lie in homes.
-func within(homes port.Homes, list []*endpoint.Endpoint) []*endpoint.Endpoint {
+func within(homes port.AllowedRegions, list []*endpoint.Endpoint) []*endpoint.Endpoint {
 	if !homes.Bound {
 		return list
 	}
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -70,7 +70,7 @@
 }
 
 // bestPace returns the least time between two events of runs on a route's replicas within homes.
-func (n *Node) bestPace(now time.Time, route *port.Route, homes port.Homes) time.Duration {
+func (n *Node) bestPace(now time.Time, route *port.Route, homes port.AllowedRegions) time.Duration {
 	best := time.Duration(0)
 	for _, backend := range route.Backends {
 		pool := n.endpoints.Pool(backend.Service)
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -76,14 +76,14 @@
 	for id, pace := range map[string]time.Duration{"idle": 40 * time.Millisecond, "slow": 80 * time.Millisecond, "busy": 0} {
 		registry.Put(usable(id).ReplicaRecord).Endpoint.LearnPace(now, pace)
 	}
-	if got := registry.Pool("s").BestPace(now, port.Homes{}); got != 40*time.Millisecond {
+	if got := registry.Pool("s").BestPace(now, port.AllowedRegions{}); got != 40*time.Millisecond {
 		t.Errorf("best pace %s", got)
 	}
 	registry.Find("idle").Held = true
-	if got := registry.Pool("s").BestPace(now, port.Homes{}); got != 80*time.Millisecond {
+	if got := registry.Pool("s").BestPace(now, port.AllowedRegions{}); got != 80*time.Millisecond {
 		t.Errorf("best pace %s, as the fastest gets no new work", got)
 	}
-	if got := registry.Pool("s").BestPace(now.Add(time.Minute), port.Homes{}); got != 0 {
+	if got := registry.Pool("s").BestPace(now.Add(time.Minute), port.AllowedRegions{}); got != 0 {
 		t.Errorf("best pace %s after a minute", got)
 	}
 }
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -13,7 +13,7 @@
 	// Zone and Region are the node's own.
 	Zone, Region string
 	// Homes are the regions in which the request must stay.
-	Homes port.Homes
+	Homes port.AllowedRegions
 	// Away returns how much longer the way to a zone and back is than within the own region; nil
 	// where there is one region.
 	Away func(zone string) time.Duration
--- a/internal/process/endpoint/pool.go
+++ b/internal/process/endpoint/pool.go
@@ -147,7 +147,7 @@
 
 // BestPace returns the least known time between two events of runs within homes, 0 when none is known.
 // Endpoints that get no new work don't count: items would be rated against a pace that they can't have.
-func (p *Pool) BestPace(now time.Time, homes port.Homes) time.Duration {
+func (p *Pool) BestPace(now time.Time, homes port.AllowedRegions) time.Duration {
 	best := time.Duration(0)
 	p.paced = slices.DeleteFunc(p.paced, func(e *Endpoint) bool {
 		pace := e.Pace(now)
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -64,11 +64,11 @@
 	unknown.Region = ""
 	for name, profile := range map[string]*Profile{"requests": &Requests, "rollouts": &Rollouts, "long": &LongRollouts, "scoring": &ScoringCalls} {
 		for _, c := range []struct {
-			homes port.Homes
+			homes port.AllowedRegions
 			list  []*Endpoint
 			want  *Endpoint
 		}{
-			{port.Homes{}, []*Endpoint{unknown}, unknown},
+			{port.AllowedRegions{}, []*Endpoint{unknown}, unknown},
 			{port.NewHomes([]string{"south"}), []*Endpoint{north, unknown, south}, south},
 			{port.NewHomes([]string{"east"}), []*Endpoint{north, unknown, south}, nil},
 			{port.NewHomes([]string{"north"}).And(port.NewHomes([]string{"south"})), []*Endpoint{north, unknown, south}, nil},
@@ -170,7 +170,7 @@
 		for rotation := range uint64(4) {
 			query := inNorth()
 			query.Tokens, query.MemoryTokens, query.Rotation = 2_000, 20_000, rotation
-			query.BestPace = poolOf(near, far).BestPace(now, port.Homes{})
+			query.BestPace = poolOf(near, far).BestPace(now, port.AllowedRegions{})
 			if got := LongRollouts.Pick(query, []*Endpoint{near, far}); got == nil || got.ID != c.want {
 				t.Errorf("%s: %v", c.name, got)
 			}
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -66,7 +66,7 @@
 		fast.LearnPace(now, 40*time.Millisecond)
 		slow.LearnPace(now, 80*time.Millisecond)
 		withhold(fast)
-		if got := poolOf(fast, slow).BestPace(now, port.Homes{}); got != 80*time.Millisecond {
+		if got := poolOf(fast, slow).BestPace(now, port.AllowedRegions{}); got != 80*time.Millisecond {
 			t.Errorf("%s, though the replica that makes it is %s", got, fast.Withheld())
 		}
 	}
--- a/internal/simulation/clustersim/check_homes.go
+++ b/internal/simulation/clustersim/check_homes.go
@@ -39,7 +39,7 @@
 // homesRecord is what was told and seen of homes.
 type homesRecord struct {
 	// versions are the homes of each route by the version of the configuration.
-	versions map[int64]map[string]port.Homes
+	versions map[int64]map[string]port.AllowedRegions
 	// handedIn are the regions of the nodes that each job was handed to.
 	handedIn map[string][]string
 	// since is when each node came to go by its present homes.
@@ -52,12 +52,12 @@
 }
 
 func newHomesRecord() homesRecord {
-	return homesRecord{versions: map[int64]map[string]port.Homes{}, handedIn: map[string][]string{}, since: map[string]nodeVersion{}}
+	return homesRecord{versions: map[int64]map[string]port.AllowedRegions{}, handedIn: map[string][]string{}, since: map[string]nodeVersion{}}
 }
 
 // written notes the homes of a version that the operators write.
 func (h homesRecord) written(table port.RouteTable) {
-	byRoute := map[string]port.Homes{}
+	byRoute := map[string]port.AllowedRegions{}
 	for _, route := range table.Routes {
 		byRoute[route.Name] = port.NewHomes(route.AllowedRegions)
 	}
@@ -70,9 +70,9 @@
 }
 
 // of returns the homes of a route by the version that a node goes by.
-func (h homesRecord) of(n *node, route string) port.Homes {
+func (h homesRecord) of(n *node, route string) port.AllowedRegions {
 	if n.node.Routes() == nil {
-		return port.Homes{}
+		return port.AllowedRegions{}
 	}
 	return h.versions[n.node.Routes().Version()][route]
 }
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -13,7 +13,7 @@
 // region.
 type Homes struct {
 	// Of returns the homes of a route's and a tenant's requests; the route may be nil.
-	Of func(route *port.Route, tenant string) port.Homes
+	Of func(route *port.Route, tenant string) port.AllowedRegions
 	// Named returns the route of a name, nil when there is none.
 	Named func(name string) *port.Route
 	// Known reports whether there is a configuration to go by; nil if there always is.
@@ -22,15 +22,15 @@
 	Served func(route *port.Route, tenant string) bool
 }
 
-func (h Homes) of(route *port.Route, tenant string) port.Homes {
+func (h Homes) of(route *port.Route, tenant string) port.AllowedRegions {
 	if h.Of == nil {
-		return port.Homes{}
+		return port.AllowedRegions{}
 	}
 	return h.Of(route, tenant)
 }
 
 // ofHead returns the homes of a job that is known by its head alone.
-func (h Homes) ofHead(head *doorstepv1.BatchJobHead) port.Homes {
+func (h Homes) ofHead(head *doorstepv1.BatchJobHead) port.AllowedRegions {
 	var route *port.Route
 	if h.Named != nil && head.Route != "" {
 		route = h.Named(head.Route)
@@ -46,13 +46,13 @@
 
 // here reports whether this node may hold a job's content: it lies in a home, or in the region in
 // which the client handed the job in.
-func (j *Jobs) here(homes port.Homes, acceptedIn string) bool {
+func (j *Jobs) here(homes port.AllowedRegions, acceptedIn string) bool {
 	region := j.options.Topology.Region
 	return homes.Allow(region) || region != "" && region == acceptedIn
 }
 
 // ownerRegions returns the regions whose nodes may own a job, nil for any.
-func ownerRegions(homes port.Homes, acceptedIn string) []string {
+func ownerRegions(homes port.AllowedRegions, acceptedIn string) []string {
 	if !homes.Bound {
 		return nil
 	}
@@ -64,7 +64,7 @@
 }
 
 // bindRegions fixes in a new head where the job may be owned.
-func (j *Jobs) bindRegions(head *doorstepv1.BatchJobHead, job *doorstepv1.BatchJob, homes port.Homes) {
+func (j *Jobs) bindRegions(head *doorstepv1.BatchJobHead, job *doorstepv1.BatchJob, homes port.AllowedRegions) {
 	topology := j.options.Topology
 	if topology.Several() || homes.Bound {
 		head.Route, head.AcceptedIn = job.Route, topology.Region
@@ -100,7 +100,9 @@
 }
 
 // homes returns the regions in which the job must stay, by the configuration in force.
-func (o *ownedJob) homes() port.Homes { return o.jobs.options.Homes.of(o.route(), o.job.Tenant) }
+func (o *ownedJob) homes() port.AllowedRegions {
+	return o.jobs.options.Homes.of(o.route(), o.job.Tenant)
+}
 
 // keepHomes hands the job over once a newer configuration keeps it from this node's region, and tells
 // of homes without a replica.
@@ -132,7 +134,7 @@
 
 // tellRegions brings a head up to date with the homes. It keeps what it told last where there are
 // none any more, or none that a node could lie in.
-func tellRegions(next *doorstepv1.BatchJobHead, homes port.Homes) {
+func tellRegions(next *doorstepv1.BatchJobHead, homes port.AllowedRegions) {
 	if regions := ownerRegions(homes, next.AcceptedIn); len(regions) > 0 {
 		next.Regions = regions
 	}
--- a/internal/version/routes/homes.go
+++ b/internal/version/routes/homes.go
@@ -5,7 +5,7 @@
 // Homes returns the regions in which requests of a route and a tenant may be served and kept; both
 // bind. The route may be nil, the tenant empty. For a request that came by the route of an older
 // version, what this version says of that route binds as well.
-func (t *Table) Homes(route *port.Route, tenant string) port.Homes {
+func (t *Table) Homes(route *port.Route, tenant string) port.AllowedRegions {
 	homes := t.homes[tenant]
 	if route == nil {
 		return homes
@@ -21,8 +21,8 @@
 func (t *Table) Named(name string) *port.Route { return t.byName[name] }
 
 // homesByTenant returns the homes of the tenants that name some.
-func homesByTenant(tenants []port.Tenant) map[string]port.Homes {
-	homes := map[string]port.Homes{}
+func homesByTenant(tenants []port.Tenant) map[string]port.AllowedRegions {
+	homes := map[string]port.AllowedRegions{}
 	for _, tenant := range tenants {
 		if len(tenant.AllowedRegions) > 0 {
 			homes[tenant.Name] = port.NewHomes(tenant.AllowedRegions)
--- a/internal/version/routes/routes.go
+++ b/internal/version/routes/routes.go
@@ -22,7 +22,7 @@
 	// tenants are configured.
 	tenants map[port.KeyDigest]string
 	// homes holds those of the tenants that name some, by the tenants' names.
-	homes map[string]port.Homes
+	homes map[string]port.AllowedRegions
 }
 
 // New prepares a version of the configuration.
