--- a/internal/port/homes.go
+++ b/internal/port/homes.go
@@ -9,8 +9,8 @@
 	Regions []string
 }
 
-// NewHomes returns the regions that a route or a tenant configures; an empty list allows any.
-func NewHomes(regions []string) AllowedRegions {
+// NewAllowedRegions returns the regions that a route or a tenant configures; an empty list allows any.
+func NewAllowedRegions(regions []string) AllowedRegions {
 	return AllowedRegions{Bound: len(regions) > 0, Regions: regions}
 }
 
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -69,9 +69,9 @@
 			want  *Endpoint
 		}{
 			{port.AllowedRegions{}, []*Endpoint{unknown}, unknown},
-			{port.NewHomes([]string{"south"}), []*Endpoint{north, unknown, south}, south},
-			{port.NewHomes([]string{"east"}), []*Endpoint{north, unknown, south}, nil},
-			{port.NewHomes([]string{"north"}).And(port.NewHomes([]string{"south"})), []*Endpoint{north, unknown, south}, nil},
+			{port.NewAllowedRegions([]string{"south"}), []*Endpoint{north, unknown, south}, south},
+			{port.NewAllowedRegions([]string{"east"}), []*Endpoint{north, unknown, south}, nil},
+			{port.NewAllowedRegions([]string{"north"}).And(port.NewAllowedRegions([]string{"south"})), []*Endpoint{north, unknown, south}, nil},
 		} {
 			for _, ejected := range []bool{false, true} {
 				query := inNorth()
--- a/internal/simulation/clustersim/check_homes.go
+++ b/internal/simulation/clustersim/check_homes.go
@@ -59,7 +59,7 @@
 func (h homesRecord) written(table port.RouteTable) {
 	byRoute := map[string]port.AllowedRegions{}
 	for _, route := range table.Routes {
-		byRoute[route.Name] = port.NewHomes(route.AllowedRegions)
+		byRoute[route.Name] = port.NewAllowedRegions(route.AllowedRegions)
 	}
 	h.versions[table.Version] = byRoute
 }
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -23,7 +23,7 @@
 
 // setHomes has the node go by other homes.
 func (b *bench) setHomes(homes ...string) {
-	b.jobs.options.Homes.Of = func(*port.Route, string) port.AllowedRegions { return port.NewHomes(homes) }
+	b.jobs.options.Homes.Of = func(*port.Route, string) port.AllowedRegions { return port.NewAllowedRegions(homes) }
 }
 
 // TestOwnersLieInHomes is the table of the design note: who may own a job that was accepted in the
--- a/internal/version/routes/homes.go
+++ b/internal/version/routes/homes.go
@@ -10,9 +10,9 @@
 	if route == nil {
 		return homes
 	}
-	homes = homes.And(port.NewHomes(route.AllowedRegions))
+	homes = homes.And(port.NewAllowedRegions(route.AllowedRegions))
 	if newer := t.Named(route.Name); newer != nil && newer != route {
-		homes = homes.And(port.NewHomes(newer.AllowedRegions))
+		homes = homes.And(port.NewAllowedRegions(newer.AllowedRegions))
 	}
 	return homes
 }
@@ -25,7 +25,7 @@
 	homes := map[string]port.AllowedRegions{}
 	for _, tenant := range tenants {
 		if len(tenant.AllowedRegions) > 0 {
-			homes[tenant.Name] = port.NewHomes(tenant.AllowedRegions)
+			homes[tenant.Name] = port.NewAllowedRegions(tenant.AllowedRegions)
 		}
 	}
 	return homes
