--- a/internal/port/homes.go
+++ b/internal/port/homes.go
@@ -14,8 +14,8 @@
 	return AllowedRegions{Bound: len(regions) > 0, Regions: regions}
 }
 
-// And returns the regions that both h and other allow.
-func (h AllowedRegions) And(other AllowedRegions) AllowedRegions {
+// Intersect returns the regions that both h and other allow.
+func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	switch {
 	case !h.Bound:
 		return other
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -71,7 +71,7 @@
 			{port.AllowedRegions{}, []*Endpoint{unknown}, unknown},
 			{port.NewAllowedRegions([]string{"south"}), []*Endpoint{north, unknown, south}, south},
 			{port.NewAllowedRegions([]string{"east"}), []*Endpoint{north, unknown, south}, nil},
-			{port.NewAllowedRegions([]string{"north"}).And(port.NewAllowedRegions([]string{"south"})), []*Endpoint{north, unknown, south}, nil},
+			{port.NewAllowedRegions([]string{"north"}).Intersect(port.NewAllowedRegions([]string{"south"})), []*Endpoint{north, unknown, south}, nil},
 		} {
 			for _, ejected := range []bool{false, true} {
 				query := inNorth()
--- a/internal/version/routes/homes.go
+++ b/internal/version/routes/homes.go
@@ -10,9 +10,9 @@
 	if route == nil {
 		return homes
 	}
-	homes = homes.And(port.NewAllowedRegions(route.AllowedRegions))
+	homes = homes.Intersect(port.NewAllowedRegions(route.AllowedRegions))
 	if newer := t.Named(route.Name); newer != nil && newer != route {
-		homes = homes.And(port.NewAllowedRegions(newer.AllowedRegions))
+		homes = homes.Intersect(port.NewAllowedRegions(newer.AllowedRegions))
 	}
 	return homes
 }
