--- a/internal/port/homes.go
+++ b/internal/port/homes.go
@@ -31,7 +31,7 @@
 	return both
 }
 
-// Allow reports whether a region is allowed. If regions are restricted, an unknown region is not.
-func (h AllowedRegions) Allow(region string) bool {
+// Allows reports whether a region is allowed. If regions are restricted, an unknown region is not.
+func (h AllowedRegions) Allows(region string) bool {
 	return !h.Bound || region != "" && slices.Contains(h.Regions, region)
 }
--- a/internal/port/homes_test.go
+++ b/internal/port/homes_test.go
@@ -20,7 +20,7 @@
 		{"disjoint", []string{"north"}, []string{"south"}, "north", false},
 		{"restricted, unknown region", []string{"north"}, nil, "", false},
 	} {
-		if got := NewAllowedRegions(c.route).Intersect(NewAllowedRegions(c.tenant)).Allow(c.region); got != c.allowed {
+		if got := NewAllowedRegions(c.route).Intersect(NewAllowedRegions(c.tenant)).Allows(c.region); got != c.allowed {
 			t.Errorf("%s: allowed %t, want %t", c.name, got, c.allowed)
 		}
 	}
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -28,7 +28,7 @@
 		return true
 	}
 	for _, backend := range route.Backends {
-		if backend.Weight > 0 && slices.ContainsFunc(n.endpoints.Service(backend.Service), func(e *endpoint.Endpoint) bool { return homes.Allow(e.Region) }) {
+		if backend.Weight > 0 && slices.ContainsFunc(n.endpoints.Service(backend.Service), func(e *endpoint.Endpoint) bool { return homes.Allows(e.Region) }) {
 			return true
 		}
 	}
@@ -53,7 +53,7 @@
 	if !homes.Bound {
 		return list
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(e *endpoint.Endpoint) bool { return !homes.Allow(e.Region) })
+	return slices.DeleteFunc(slices.Clone(list), func(e *endpoint.Endpoint) bool { return !homes.Allows(e.Region) })
 }
 
 // NoteConnection takes how long it took to open a connection to a replica's address.
--- a/internal/process/endpoint/pool.go
+++ b/internal/process/endpoint/pool.go
@@ -155,7 +155,7 @@
 			e.paced = false
 			return true
 		}
-		if (best == 0 || pace < best) && !e.Leaving() && !e.Ejected(now) && homes.Allow(e.Region) {
+		if (best == 0 || pace < best) && !e.Leaving() && !e.Ejected(now) && homes.Allows(e.Region) {
 			best = pace
 		}
 		return false
--- a/internal/process/endpoint/region.go
+++ b/internal/process/endpoint/region.go
@@ -21,7 +21,7 @@
 )
 
 // InHomes drops endpoints outside the regions in which the request must stay.
-func InHomes(q *Query, e *Endpoint) bool { return q.Homes.Allow(e.Region) }
+func InHomes(q *Query, e *Endpoint) bool { return q.Homes.Allows(e.Region) }
 
 // Near is 1 in the node's own zone, sameRegion in the other zones of its region where there are
 // several regions, 0 elsewhere and where the endpoint's place is not known.
--- a/internal/simulation/clustersim/check_homes.go
+++ b/internal/simulation/clustersim/check_homes.go
@@ -80,7 +80,7 @@
 // mayHold reports whether a node may hold the content of a job, by the version that it goes by.
 func (h homesRecord) mayHold(n *node, known *jobRecord) bool {
 	region := regions[n.zone]
-	return h.of(n, known.content.Route).Allow(region) || slices.Contains(h.handedIn[known.content.Id], region)
+	return h.of(n, known.content.Route).Allows(region) || slices.Contains(h.handedIn[known.content.Id], region)
 }
 
 // sentTo checks what a node sends to a replica for a job, by a route or, if it is empty, by the job's: the node goes by some version, whether or
@@ -92,7 +92,7 @@
 	if route == "" {
 		route = known.content.Route
 	}
-	if homes := c.homes.of(n, route); !homes.Allow(regions[zone]) {
+	if homes := c.homes.of(n, route); !homes.Allows(regions[zone]) {
 		c.violate(w, "homes-kept", "%s sends %s to %s, its homes are %v", n.name, request, regions[zone], homes.Regions)
 	}
 	if !c.homes.mayHold(n, known) {
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -48,7 +48,7 @@
 // which the client handed the job in.
 func (j *Jobs) here(homes port.AllowedRegions, acceptedIn string) bool {
 	region := j.options.Topology.Region
-	return homes.Allow(region) || region != "" && region == acceptedIn
+	return homes.Allows(region) || region != "" && region == acceptedIn
 }
 
 // ownerRegions returns the regions whose nodes may own a job, nil for any.
--- a/internal/version/routes/homes_test.go
+++ b/internal/version/routes/homes_test.go
@@ -24,7 +24,7 @@
 		{route, "red", "south", true}, {route, "red", "west", false}, {route, "red", "north", false},
 		{route, "blue", "west", true}, {route, "", "north", false}, {nil, "red", "north", true}, {nil, "blue", "west", true},
 	} {
-		if got := table.Homes(c.route, c.tenant).Allow(c.region); got != c.allowed {
+		if got := table.Homes(c.route, c.tenant).Allows(c.region); got != c.allowed {
 			t.Errorf("route %t, tenant %q, %s: allowed %t", c.route != nil, c.tenant, c.region, got)
 		}
 	}
@@ -34,11 +34,11 @@
 func TestHomesThatNarrowUnderARequest(t *testing.T) {
 	older := homedTable(1).Match("h", "/x")
 	narrowed := homedTable(2, "north")
-	if homes := narrowed.Homes(older, ""); !homes.Allow("north") || homes.Allow("south") {
+	if homes := narrowed.Homes(older, ""); !homes.Allows("north") || homes.Allows("south") {
 		t.Errorf("%+v", homes)
 	}
 	bound := homedTable(1, "north").Match("h", "/x")
-	if homes := homedTable(2).Homes(bound, ""); !homes.Allow("north") || homes.Allow("south") {
+	if homes := homedTable(2).Homes(bound, ""); !homes.Allows("north") || homes.Allows("south") {
 		t.Errorf("widened: %+v", homes)
 	}
 }
