--- a/internal/port/homes.go
+++ b/internal/port/homes.go
@@ -4,25 +4,25 @@
 
 // AllowedRegions restricts the regions in which requests may be served and stored. The zero value allows any region.
 type AllowedRegions struct {
-	// Bound restricts requests to Regions. If Regions is empty, no region is allowed.
-	Bound   bool
-	Regions []string
+	// Restricted restricts requests to Regions. If Regions is empty, no region is allowed.
+	Restricted bool
+	Regions    []string
 }
 
 // NewAllowedRegions returns the regions that a route or a tenant configures; an empty list allows any.
 func NewAllowedRegions(regions []string) AllowedRegions {
-	return AllowedRegions{Bound: len(regions) > 0, Regions: regions}
+	return AllowedRegions{Restricted: len(regions) > 0, Regions: regions}
 }
 
 // Intersect returns the regions that both h and other allow.
 func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	switch {
-	case !h.Bound:
+	case !h.Restricted:
 		return other
-	case !other.Bound:
+	case !other.Restricted:
 		return h
 	}
-	both := AllowedRegions{Bound: true}
+	both := AllowedRegions{Restricted: true}
 	for _, region := range h.Regions {
 		if slices.Contains(other.Regions, region) {
 			both.Regions = append(both.Regions, region)
@@ -33,5 +33,5 @@
 
 // Allows reports whether a region is allowed. If regions are restricted, an unknown region is not.
 func (h AllowedRegions) Allows(region string) bool {
-	return !h.Bound || region != "" && slices.Contains(h.Regions, region)
+	return !h.Restricted || region != "" && slices.Contains(h.Regions, region)
 }
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -24,7 +24,7 @@
 // nothing to say.
 func (n *Node) Served(route *port.Route, tenant string) bool {
 	homes := n.Homes(route, tenant)
-	if !homes.Bound || route == nil || !n.listsAll() {
+	if !homes.Restricted || route == nil || !n.listsAll() {
 		return true
 	}
 	for _, backend := range route.Backends {
@@ -50,7 +50,7 @@
 
 // within returns the endpoints that lie in homes.
 func within(homes port.AllowedRegions, list []*endpoint.Endpoint) []*endpoint.Endpoint {
-	if !homes.Bound {
+	if !homes.Restricted {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(e *endpoint.Endpoint) bool { return !homes.Allows(e.Region) })
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -53,7 +53,7 @@
 
 // ownerRegions returns the regions whose nodes may own a job, nil for any.
 func ownerRegions(homes port.AllowedRegions, acceptedIn string) []string {
-	if !homes.Bound {
+	if !homes.Restricted {
 		return nil
 	}
 	regions := slices.Clone(homes.Regions)
@@ -66,7 +66,7 @@
 // bindRegions fixes in a new head where the job may be owned.
 func (j *Jobs) bindRegions(head *doorstepv1.BatchJobHead, job *doorstepv1.BatchJob, homes port.AllowedRegions) {
 	topology := j.options.Topology
-	if topology.Several() || homes.Bound {
+	if topology.Several() || homes.Restricted {
 		head.Route, head.AcceptedIn = job.Route, topology.Region
 	}
 	head.Regions = ownerRegions(homes, topology.Region)
@@ -108,7 +108,7 @@
 // of homes without a replica.
 func (o *ownedJob) keepHomes(now time.Time) {
 	homes := o.homes()
-	if o.releasing || !homes.Bound && !o.unserved {
+	if o.releasing || !homes.Restricted && !o.unserved {
 		return
 	}
 	h := o.jobs.options.Homes
