--- a/internal/port/topology.go
+++ b/internal/port/topology.go
@@ -17,8 +17,8 @@
 	return t.Regions[zone]
 }
 
-// Several reports whether the deployment spans more than one region.
-func (t Topology) Several() bool {
+// MultiRegion reports whether the deployment spans more than one region.
+func (t Topology) MultiRegion() bool {
 	for _, region := range t.Regions {
 		if region != t.Region {
 			return true
--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -36,7 +36,7 @@
 // configureRegions measures the distance to other regions from connection times, and reserves time to
 // connect to a second replica when a whole region is unreachable.
 func (a *Agent) configureRegions() {
-	if !a.settings.Topology().Several() {
+	if !a.settings.Topology().MultiRegion() {
 		return
 	}
 	a.upstream.SharesTime = true
--- a/internal/process/cluster/latency.go
+++ b/internal/process/cluster/latency.go
@@ -46,7 +46,7 @@
 // storeDistance returns what tells how long calls to the store take of late, nil in a deployment of one
 // region.
 func (n *Node) storeDistance() func() time.Duration {
-	if !n.options.Topology.Several() {
+	if !n.options.Topology.MultiRegion() {
 		return nil
 	}
 	return n.Latency
--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -28,7 +28,7 @@
 
 // New returns distances of which nothing was measured.
 func New(topology port.Topology) *Distances {
-	d := &Distances{topology: topology, several: topology.Several(), roundTrips: map[string]time.Duration{}, away: map[string]time.Duration{}}
+	d := &Distances{topology: topology, several: topology.MultiRegion(), roundTrips: map[string]time.Duration{}, away: map[string]time.Duration{}}
 	d.update()
 	return d
 }
--- a/internal/version/batch/preference.go
+++ b/internal/version/batch/preference.go
@@ -16,7 +16,7 @@
 
 // distance returns how long calls to the store take of late, 0 in a deployment of one region.
 func (j *Jobs) distance() time.Duration {
-	if !j.options.Topology.Several() {
+	if !j.options.Topology.MultiRegion() {
 		return 0
 	}
 	return j.options.Latency()
@@ -24,7 +24,7 @@
 
 // place tells the other nodes where this one stands, nil in a deployment of one region.
 func (j *Jobs) place() *doorstepv1.OwnerPlace {
-	if !j.options.Topology.Several() {
+	if !j.options.Topology.MultiRegion() {
 		return nil
 	}
 	return &doorstepv1.OwnerPlace{Zone: j.options.Topology.Zone, StoreLatencyMs: int32(j.distance().Milliseconds())}
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -66,7 +66,7 @@
 // bindRegions fixes in a new head where the job may be owned.
 func (j *Jobs) bindRegions(head *doorstepv1.BatchJobHead, job *doorstepv1.BatchJob, homes port.AllowedRegions) {
 	topology := j.options.Topology
-	if topology.Several() || homes.Restricted {
+	if topology.MultiRegion() || homes.Restricted {
 		head.Route, head.AcceptedIn = job.Route, topology.Region
 	}
 	head.Regions = ownerRegions(homes, topology.Region)
@@ -80,7 +80,7 @@
 	if len(head.Regions) > 0 && (topology.Region == "" || !slices.Contains(head.Regions, topology.Region)) {
 		return false
 	}
-	if topology.Several() && !h.known() {
+	if topology.MultiRegion() && !h.known() {
 		return false
 	}
 	return j.here(h.ofHead(head), head.AcceptedIn)
