--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -181,8 +181,8 @@
 	Evacuations []Evacuation
 }
 
-// OrderVersion orders a replica to load a version of a model.
-type OrderVersion struct {
+// VersionOrder orders a replica to load a version of a model.
+type VersionOrder struct {
 	// Replica and Address identify the recipient.
 	Replica, Address string
 	Model            string
@@ -199,7 +199,7 @@
 const ProbeSequence = math.MaxInt32
 
 // Probe reports whether the order is a probe, which no replica accepts.
-func (o *OrderVersion) Probe() bool { return o.ExpectedSequence == ProbeSequence }
+func (o *VersionOrder) Probe() bool { return o.ExpectedSequence == ProbeSequence }
 
 // VersionOrderStatus is the outcome of an OrderVersion.
 type VersionOrderStatus int
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -67,7 +67,7 @@
 	DecodeJob(id string, content []byte) (*doorstepv1.BatchJob, error)
 	DecodeJobCall(method string, target *url.URL) port.JobCall
 	EncodeResults(total, from int, results []*doorstepv1.BatchResult) []byte
-	EncodeOrder(order port.OrderVersion) (path string, body []byte)
+	EncodeOrder(order port.VersionOrder) (path string, body []byte)
 	DecodeOrderStatus(status int) port.VersionOrderStatus
 	ReportPath() string
 	DecodeReport(content []byte) port.ReplicaReport
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -133,7 +133,7 @@
 
 // Order sends an order to a replica.
 type Order struct {
-	Order port.OrderVersion
+	Order port.VersionOrder
 	// Limit is the time in which it must have reached the replica: the sender may not order
 	// any more behind it.
 	Limit time.Duration
--- a/internal/simulation/clustersim/check.go
+++ b/internal/simulation/clustersim/check.go
@@ -158,7 +158,7 @@
 }
 
 // ordered checks an order that reaches a replica.
-func (c *checker) ordered(w *World, n *node, order port.OrderVersion) {
+func (c *checker) ordered(w *World, n *node, order port.VersionOrder) {
 	c.orderCount++
 	last, ok := c.orders[order.Replica]
 	if ok && last.holder != order.Holder && w.Now.Sub(last.at) < orderPause {
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -349,7 +349,7 @@
 
 // carryOutLate carries an order out that was left unanswered, at whatever replica has the
 // address by then.
-func (w *World) carryOutLate(order port.OrderVersion) {
+func (w *World) carryOutLate(order port.VersionOrder) {
 	r := w.at(order.Address)
 	if r == nil {
 		return
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -142,7 +142,7 @@
 }
 
 // Ordered takes a version order that a replica took, and the version that it had before.
-func (c *Checker) Ordered(order port.OrderVersion, before int64) {
+func (c *Checker) Ordered(order port.VersionOrder, before int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["orders"]++
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -127,11 +127,11 @@
 		{"refused job runs", "though its job", func(c *Checker) { c.Refused(job, 503); c.Ran("x", "j-1") }},
 		{"refused job, other job's item", "", func(c *Checker) { c.Refused(job, 503); c.Ran("x", "j2-1") }},
 		{"two holders of a fence", "fence 7 was used by", func(c *Checker) {
-			c.Ordered(port.OrderVersion{Fence: 7, Holder: "a"}, 0)
-			c.Ordered(port.OrderVersion{Fence: 7, Holder: "b"}, 0)
+			c.Ordered(port.VersionOrder{Fence: 7, Holder: "a"}, 0)
+			c.Ordered(port.VersionOrder{Fence: 7, Holder: "b"}, 0)
 		}},
 		{"an order that takes a replica back", "back from version 5 to 3", func(c *Checker) {
-			c.Ordered(port.OrderVersion{Fence: 7, Holder: "a", Version: 3}, 5)
+			c.Ordered(port.VersionOrder{Fence: 7, Holder: "a", Version: 3}, 5)
 		}},
 		{"cut stream", "ended whole with 1 of", func(c *Checker) {
 			c.Streamed("r", platformtest.Signed(200, "data: "+model.ItemEvent("r", 1)+"\n\n"))
--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -95,7 +95,7 @@
 }
 
 // Order takes a version order.
-func (g *Generator) Order(now time.Time, order port.OrderVersion) port.VersionOrderStatus {
+func (g *Generator) Order(now time.Time, order port.VersionOrder) port.VersionOrderStatus {
 	g.settle(now)
 	switch {
 	case order.Replica != g.ID:
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -109,8 +109,8 @@
 	})
 }
 
-func (r *Rollout) message(one wanted, fence, sequence int64) port.OrderVersion {
-	return port.OrderVersion{
+func (r *Rollout) message(one wanted, fence, sequence int64) port.VersionOrder {
+	return port.VersionOrder{
 		Replica: one.endpoint.ID, Address: one.endpoint.Address, Model: one.model, Version: one.version,
 		Holder: r.options.Self, Fence: fence, ExpectedSequence: sequence,
 	}
