--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -198,8 +198,8 @@
 // response shows that the replica answers orders.
 const ProbeSequence = math.MaxInt32
 
-// Probe reports whether the order is a probe, which no replica accepts.
-func (o *VersionOrder) Probe() bool { return o.ExpectedSequence == ProbeSequence }
+// IsProbe reports whether the order is a probe, which no replica accepts.
+func (o *VersionOrder) IsProbe() bool { return o.ExpectedSequence == ProbeSequence }
 
 // VersionOrderStatus is the outcome of an OrderVersion.
 type VersionOrderStatus int
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -110,7 +110,7 @@
 		}
 		t.Done(b.now, b.generators[t.Replica].Report(b.now))
 	case task.Order:
-		if !t.Order.Probe() {
+		if !t.Order.IsProbe() {
 			b.orders++
 		}
 		b.sent = append(b.sent, t)
@@ -119,7 +119,7 @@
 			t.Done(b.now, port.VersionOrderFenced)
 			return
 		}
-		if b.late && !(b.answersProbes && t.Order.Probe()) {
+		if b.late && !(b.answersProbes && t.Order.IsProbe()) {
 			b.queued = append(b.queued, func() { b.generators[t.Order.Replica].Order(b.now, t.Order) })
 			t.Done(b.now, port.VersionOrderUnknown)
 			return
