--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -209,8 +209,8 @@
 	VersionOrderUnknown VersionOrderStatus = iota
 	// VersionOrderAccepted means that the replica is loading the version.
 	VersionOrderAccepted
-	// VersionOrderHeld means that the replica already has the version.
-	VersionOrderHeld
+	// VersionOrderAlreadyLoaded means that the replica already has the version.
+	VersionOrderAlreadyLoaded
 	// VersionOrderConflict means that another order is in progress or was accepted.
 	VersionOrderConflict
 	// VersionOrderFenced means that a newer lease holder has sent orders.
--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -103,7 +103,7 @@
 	case order.Fence < g.fence && !g.Unfenced:
 		return port.VersionOrderFenced
 	case g.Versions[order.Model] == order.Version:
-		return port.VersionOrderHeld
+		return port.VersionOrderAlreadyLoaded
 	case g.loading != "" || order.ExpectedSequence != g.sequence:
 		return port.VersionOrderConflict
 	}
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -96,7 +96,7 @@
 			state.asking = false
 			r.options.Queue.Log(event.OrderProbed, "replica", one.endpoint.ID, "fence", fence, "status", int(status))
 			switch status {
-			case port.VersionOrderAccepted, port.VersionOrderHeld, port.VersionOrderConflict:
+			case port.VersionOrderAccepted, port.VersionOrderAlreadyLoaded, port.VersionOrderConflict:
 				state.probedAt = now
 				r.Tick(now)
 			case port.VersionOrderFenced:
@@ -145,7 +145,7 @@
 	switch status {
 	case port.VersionOrderAccepted:
 		state.answered = true
-	case port.VersionOrderHeld:
+	case port.VersionOrderAlreadyLoaded:
 		one.endpoint.LearnVersion(one.model, one.version)
 	case port.VersionOrderUnknown:
 		state.notAt = now.Add(lookEvery)
