--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -142,8 +142,8 @@
 	return fmt.Sprintf("%s@%d", r.ID, r.StartedAt.UnixMilli())
 }
 
-// GoneReplica is a replica whose record was deleted or became unusable at a revision of the store.
-type GoneReplica struct {
+// RemovedReplica is a replica whose record was deleted or became unusable at a revision of the store.
+type RemovedReplica struct {
 	ID       string
 	Revision int64
 }
@@ -173,7 +173,7 @@
 	Routes *RouteTable
 	// Replicas were added or changed. Gone no longer have a usable record.
 	Replicas []ReplicaRecord
-	Gone     []GoneReplica
+	Gone     []RemovedReplica
 	Targets  []VersionTarget
 	// Unreadable are records that were skipped.
 	Unreadable []UnreadableRecord
--- a/internal/process/cluster/lapse.go
+++ b/internal/process/cluster/lapse.go
@@ -56,7 +56,7 @@
 
 // removeGone drops a replica whose record was deleted, or can't be used any more: that is nothing that the
 // store's absence would explain.
-func (n *Node) removeGone(now time.Time, gone port.GoneReplica, unusable bool) {
+func (n *Node) removeGone(now time.Time, gone port.RemovedReplica, unusable bool) {
 	switch {
 	case n.endpoints.Outlives(gone):
 	case unusable:
--- a/internal/process/cluster/unreadable_test.go
+++ b/internal/process/cluster/unreadable_test.go
@@ -24,7 +24,7 @@
 			change.Replicas, change.Gone = append(change.Replicas, part.Replicas...), append(change.Gone, part.Gone...)
 			continue
 		}
-		change.Gone = append(change.Gone, port.GoneReplica{ID: record.Key, Revision: record.Revision})
+		change.Gone = append(change.Gone, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		change.Unreadable = append(change.Unreadable, port.UnreadableRecord{Key: record.Key, Revision: record.Revision, Reason: "strange"})
 	}
 	return change
@@ -71,7 +71,7 @@
 	}{{4, true}, {6, false}, {0, false}} {
 		n := newNode()
 		n.putReplica(start, n.endpoints.Put(port.ReplicaRecord{ID: "r", Service: "s", Revision: 5}))
-		n.removeGone(start, port.GoneReplica{ID: "r", Revision: c.revision}, false)
+		n.removeGone(start, port.RemovedReplica{ID: "r", Revision: c.revision}, false)
 		if kept := n.endpoints.Find("r") != nil; kept != c.kept {
 			t.Errorf("kept %t after a removal at revision %d", kept, c.revision)
 		}
--- a/internal/process/endpoint/incarnation_test.go
+++ b/internal/process/endpoint/incarnation_test.go
@@ -66,7 +66,7 @@
 	registry := NewRegistry()
 	registry.Put(entry(1000, 5, 1))
 	for revision, outlives := range map[int64]bool{4: true, 5: false, 6: false, 0: false} {
-		if got := registry.Outlives(port.GoneReplica{ID: "r", Revision: revision}); got != outlives {
+		if got := registry.Outlives(port.RemovedReplica{ID: "r", Revision: revision}); got != outlives {
 			t.Errorf("a removal at revision %d is outlived: %t", revision, got)
 		}
 	}
--- a/internal/process/endpoint/registry.go
+++ b/internal/process/endpoint/registry.go
@@ -116,7 +116,7 @@
 }
 
 // Outlives reports whether a listed replica has a newer record than that which is gone.
-func (r *Registry) Outlives(gone port.GoneReplica) bool {
+func (r *Registry) Outlives(gone port.RemovedReplica) bool {
 	known := r.byID[gone.ID]
 	return known != nil && known.newerThan(gone.Revision)
 }
