--- a/internal/command/operator/rows.go
+++ b/internal/command/operator/rows.go
@@ -116,7 +116,7 @@
 // than replicas write there too.
 func (g *gathering) checkReadable(table string, part port.Deployment) {
 	for _, one := range part.Unreadable {
-		entry := slices.ContainsFunc(part.Gone, func(gone port.RemovedReplica) bool { return gone.ID == one.Key })
+		entry := slices.ContainsFunc(part.Removed, func(gone port.RemovedReplica) bool { return gone.ID == one.Key })
 		if !entry && g.err == nil {
 			g.err = fmt.Errorf("record %s/%s: %s", table, one.Key, one.Reason)
 		}
--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -173,7 +173,7 @@
 	Routes *RouteTable
 	// Replicas were added or changed. Gone no longer have a usable record.
 	Replicas []ReplicaRecord
-	Gone     []RemovedReplica
+	Removed  []RemovedReplica
 	Targets  []VersionTarget
 	// Unreadable are records that were skipped.
 	Unreadable []UnreadableRecord
--- a/internal/process/cluster/evacuation_test.go
+++ b/internal/process/cluster/evacuation_test.go
@@ -24,7 +24,7 @@
 		case record.Table == "operator":
 			change.Evacuations = append(change.Evacuations, port.Evacuation{Zone: record.Key, Lifted: record.Deleted})
 		case record.Deleted:
-			change.Gone = append(change.Gone, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
+			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		default:
 			zone, _, _ := strings.Cut(record.Key, "/")
 			change.Replicas = append(change.Replicas, port.ReplicaRecord{ID: record.Key, Service: "s", Zone: zone, Slots: 4})
--- a/internal/process/cluster/lapse_test.go
+++ b/internal/process/cluster/lapse_test.go
@@ -58,7 +58,7 @@
 	var change port.Deployment
 	for _, record := range records {
 		if record.Deleted {
-			change.Gone = append(change.Gone, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
+			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 			continue
 		}
 		change.Replicas = append(change.Replicas, port.ReplicaRecord{ID: record.Key, Service: "s"})
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -24,7 +24,7 @@
 		case record.Table == "operator":
 			change.Routes = &port.RouteTable{Version: 1}
 		case record.Deleted:
-			change.Gone = append(change.Gone, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
+			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		case json.Unmarshal(record.Value, &one) == nil:
 			one.Revision = record.Revision
 			change.Replicas = append(change.Replicas, one)
--- a/internal/process/cluster/unreadable_test.go
+++ b/internal/process/cluster/unreadable_test.go
@@ -21,10 +21,10 @@
 			for i := range part.Replicas {
 				part.Replicas[i].Revision = record.Revision
 			}
-			change.Replicas, change.Gone = append(change.Replicas, part.Replicas...), append(change.Gone, part.Gone...)
+			change.Replicas, change.Removed = append(change.Replicas, part.Replicas...), append(change.Removed, part.Removed...)
 			continue
 		}
-		change.Gone = append(change.Gone, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
+		change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		change.Unreadable = append(change.Unreadable, port.UnreadableRecord{Key: record.Key, Revision: record.Revision, Reason: "strange"})
 	}
 	return change
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -135,7 +135,7 @@
 	if whole && n.listsReplicas(table) {
 		n.queue.Add(task.ReplicasKnown{})
 	}
-	for _, gone := range change.Gone {
+	for _, gone := range change.Removed {
 		n.removeGone(now, gone, unreadable(change.Unreadable, gone.ID))
 	}
 	if whole && n.listsReplicas(table) {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -392,7 +392,7 @@
 	for _, record := range records {
 		switch {
 		case record.Table == replicaTable && record.Deleted:
-			change.Gone = append(change.Gone, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
+			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		case record.Table == replicaTable:
 			var one port.ReplicaRecord
 			if err := json.Unmarshal(record.Value, &one); err != nil {
