--- a/internal/command/operator/rows.go
+++ b/internal/command/operator/rows.go
@@ -97,8 +97,8 @@
 	}
 }
 
-func (g *gathering) deployment() port.Deployment {
-	var whole port.Deployment
+func (g *gathering) deployment() port.DeploymentUpdate {
+	var whole port.DeploymentUpdate
 	for _, table := range g.client.decoder.DeploymentTables() {
 		part := g.client.decoder.DecodeDeployment(g.read(table, "", ""))
 		g.checkReadable(table, part)
@@ -114,7 +114,7 @@
 
 // checkReadable ends the query if a record can't be read, but for entries in the list of replicas: others
 // than replicas write there too.
-func (g *gathering) checkReadable(table string, part port.Deployment) {
+func (g *gathering) checkReadable(table string, part port.DeploymentUpdate) {
 	for _, one := range part.Unreadable {
 		entry := slices.ContainsFunc(part.Removed, func(gone port.RemovedReplica) bool { return gone.ID == one.Key })
 		if !entry && g.err == nil {
--- a/internal/command/operator/rows_test.go
+++ b/internal/command/operator/rows_test.go
@@ -37,8 +37,8 @@
 
 func (evacuationDecoder) Tokens(http.Header) (prompt, most int) { return 0, 0 }
 
-func (evacuationDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (evacuationDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		if record.Table == "operator" {
 			change.Evacuations = append(change.Evacuations, port.Evacuation{Zone: record.Key})
--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -167,9 +167,9 @@
 	Version int64
 }
 
-// Deployment is a change to the deployment as described in the platform's store. Nil fields did
+// DeploymentUpdate is a change to the deployment as described in the platform's store. Nil fields did
 // not change.
-type Deployment struct {
+type DeploymentUpdate struct {
 	Routes *RouteTable
 	// Replicas were added or changed. Gone no longer have a usable record.
 	Replicas []ReplicaRecord
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -43,7 +43,7 @@
 // trainers and replicas say.
 type DeploymentDecoder interface {
 	DeploymentTables() []string
-	DecodeDeployment(records []port.Record) port.Deployment
+	DecodeDeployment(records []port.Record) port.DeploymentUpdate
 	LengthHint(header http.Header) int
 	Tokens(header http.Header) (prompt, most int)
 }
--- a/internal/process/cluster/cluster_test.go
+++ b/internal/process/cluster/cluster_test.go
@@ -21,8 +21,8 @@
 
 func (decoder) Tokens(http.Header) (prompt, most int) { return 0, 0 }
 
-func (decoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (decoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		change.Routes = &port.RouteTable{}
 		if err := json.Unmarshal(record.Value, change.Routes); err != nil {
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -140,8 +140,8 @@
 // coldDecoder reads routes and replicas.
 type coldDecoder struct{ decoder }
 
-func (coldDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (coldDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		if record.Table == "operator" {
 			change.Routes = &port.RouteTable{}
--- a/internal/process/cluster/evacuation_test.go
+++ b/internal/process/cluster/evacuation_test.go
@@ -15,8 +15,8 @@
 // zonedDecoder reads records of evacuations, and of replicas whose keys begin with their zones.
 type zonedDecoder struct{ decoder }
 
-func (zonedDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (zonedDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		switch {
 		case record.Table == "operator" && record.Key == "routes":
--- a/internal/process/cluster/lapse_test.go
+++ b/internal/process/cluster/lapse_test.go
@@ -54,8 +54,8 @@
 // replicaDecoder reads a record of the list of replicas by its key alone.
 type replicaDecoder struct{ decoder }
 
-func (replicaDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (replicaDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		if record.Deleted {
 			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -48,7 +48,7 @@
 	services []string
 	origins  map[string]string
 	// reading is what a reading of some replicas brought so far, of so many records.
-	reading       port.Deployment
+	reading       port.DeploymentUpdate
 	readingLength int
 }
 
@@ -149,7 +149,7 @@
 // connections may be open. Nodes begin at different ones.
 func (n *Node) listOrigin() string {
 	use := &n.replicaUse
-	use.reading, use.readingLength = port.Deployment{}, 0
+	use.reading, use.readingLength = port.DeploymentUpdate{}, 0
 	if len(use.services) == 0 {
 		return ""
 	}
@@ -198,7 +198,7 @@
 // were not followed, but for the time after an outage in which records may be missing.
 func (n *Node) onSomeReplicas(now time.Time, table string) {
 	change := n.replicaUse.reading
-	n.replicaUse.reading = port.Deployment{}
+	n.replicaUse.reading = port.DeploymentUpdate{}
 	n.unreadable.note(n.queue, table, change.Unreadable, false)
 	listed := n.putReplicas(now, change.Replicas, true)
 	if !n.lapses.open(now) {
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -16,8 +16,8 @@
 // listDecoder reads the records of a deployment as JSON.
 type listDecoder struct{ decoder }
 
-func (listDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (listDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		var one port.ReplicaRecord
 		switch {
--- a/internal/process/cluster/unreadable_test.go
+++ b/internal/process/cluster/unreadable_test.go
@@ -13,8 +13,8 @@
 // strangeDecoder takes records that begin with a question mark for those of other writers.
 type strangeDecoder struct{ replicaDecoder }
 
-func (d strangeDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (d strangeDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		if !strings.HasPrefix(string(record.Value), "?") {
 			part := d.replicaDecoder.DecodeDeployment([]port.Record{record})
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -387,8 +387,8 @@
 func (decoder) Tokens(http.Header) (prompt, most int) { return 0, model.MostItemEvents }
 
 // DecodeDeployment reads JSON.
-func (decoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (decoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		switch {
 		case record.Table == replicaTable && record.Deleted:
