--- a/internal/port/operator.go
+++ b/internal/port/operator.go
@@ -69,8 +69,8 @@
 type Command struct {
 	Kind CommandKind
 	// Experiment is the experiment to change, Other a second one.
-	Experiment string
-	Other      string
+	Experiment      string
+	OtherExperiment string
 	// Settings are the experiment's fields set in the statement.
 	Settings []Setting
 	// From and To are the old and new policy of a swap.
--- a/internal/request/statement/statement.go
+++ b/internal/request/statement/statement.go
@@ -244,7 +244,7 @@
 	case s.Swap != nil:
 		return &port.Command{Kind: port.SwapPolicy, Experiment: s.Swap.Experiment, From: s.Swap.From, To: s.Swap.To}
 	case s.Beside != nil:
-		return &port.Command{Kind: port.RunBeside, Experiment: s.Beside.First, Other: s.Beside.Second,
+		return &port.Command{Kind: port.RunBeside, Experiment: s.Beside.First, OtherExperiment: s.Beside.Second,
 			Share: s.Beside.FirstShare, OtherShare: s.Beside.SecondShare}
 	case s.Pause != nil:
 		return &port.Command{Kind: port.PauseExperiment, Experiment: *s.Pause}
--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -231,9 +231,9 @@
 	if first == nil {
 		return unknownExperiment(command.Experiment)
 	}
-	second := FindExperiment(next, command.Other)
+	second := FindExperiment(next, command.OtherExperiment)
 	if second == nil {
-		return unknownExperiment(command.Other)
+		return unknownExperiment(command.OtherExperiment)
 	}
 	if first.Service != second.Service {
 		return fmt.Errorf("experiments %q and %q use different services", first.Name, second.Name)
