--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -100,7 +100,7 @@
 func (s *relayedStream) relayFrom(ctx context.Context, chosen *endpoint.Endpoint) (relay.Outcome, error) {
 	call := s.newCall(chosen, s.relay.Left(time.Now()))
 	if s.headerSent {
-		s.agent.protocol.Resume(call.Header, strconv.FormatInt(s.last, 10))
+		s.agent.protocol.SetLastEvent(call.Header, strconv.FormatInt(s.last, 10))
 	}
 	sentAt := s.agent.clock.Now()
 	answer, err := s.agent.upstream.Do(ctx, call)
