--- a/internal/port/homes.go
+++ b/internal/port/allowed_regions.go
@@ -4,7 +4,7 @@
 
 // AllowedRegions restricts the regions in which requests may be served and stored. The zero value allows any region.
 type AllowedRegions struct {
-	// Restricted restricts requests to Regions. If Regions is empty, no region is allowed.
+	// Restricted limits requests to Regions. If Regions is empty, no region is allowed.
 	Restricted bool
 	Regions    []string
 }
@@ -14,16 +14,16 @@
 	return AllowedRegions{Restricted: len(regions) > 0, Regions: regions}
 }
 
-// Intersect returns the regions that both h and other allow.
-func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
+// Intersect returns the regions that both r and other allow.
+func (r AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	switch {
-	case !h.Restricted:
+	case !r.Restricted:
 		return other
 	case !other.Restricted:
-		return h
+		return r
 	}
 	both := AllowedRegions{Restricted: true}
-	for _, region := range h.Regions {
+	for _, region := range r.Regions {
 		if slices.Contains(other.Regions, region) {
 			both.Regions = append(both.Regions, region)
 		}
@@ -32,6 +32,6 @@
 }
 
 // Allows reports whether a region is allowed. If regions are restricted, an unknown region is not.
-func (h AllowedRegions) Allows(region string) bool {
-	return !h.Restricted || region != "" && slices.Contains(h.Regions, region)
+func (r AllowedRegions) Allows(region string) bool {
+	return !r.Restricted || region != "" && slices.Contains(r.Regions, region)
 }
--- a/internal/port/homes_test.go
+++ b/internal/port/allowed_regions_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestHomes(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		route, tenant []string
--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -171,7 +171,7 @@
 // not change.
 type DeploymentUpdate struct {
 	Routes *RouteTable
-	// Replicas were added or changed. Gone no longer have a usable record.
+	// Replicas were added or changed. Removed no longer have a usable record.
 	Replicas []ReplicaRecord
 	Removed  []RemovedReplica
 	Targets  []VersionTarget
@@ -201,7 +201,7 @@
 // IsProbe reports whether the order is a probe, which no replica accepts.
 func (o *VersionOrder) IsProbe() bool { return o.ExpectedSequence == ProbeSequence }
 
-// VersionOrderStatus is the outcome of an OrderVersion.
+// VersionOrderStatus is the outcome of a VersionOrder.
 type VersionOrderStatus int
 
 const (
--- a/internal/port/operator.go
+++ b/internal/port/operator.go
@@ -68,7 +68,7 @@
 // Command changes the configuration.
 type Command struct {
 	Kind CommandKind
-	// Experiment is the experiment to change, Other a second one.
+	// Experiment is the experiment to change, OtherExperiment a second one.
 	Experiment      string
 	OtherExperiment string
 	// Settings are the experiment's fields set in the statement.
