--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -31,7 +31,7 @@
 	// tickInterval is the period between calls to the node's Tick.
 	tickInterval = 25 * time.Millisecond
 	// headerTimeout, idleTimeout and maxHeaderBytes limit connections at the HTTP server. The
-	// configured limits are applied per request.
+	// configured size limits are applied per request.
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
