--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -11,9 +11,9 @@
 
 // Homes returns the regions in which requests of a route and a tenant may be served and kept, by the
 // configuration in force.
-func (n *Node) Homes(route *port.Route, tenant string) port.Homes {
+func (n *Node) Homes(route *port.Route, tenant string) port.AllowedRegions {
 	if n.routes == nil {
-		return port.Homes{}
+		return port.AllowedRegions{}
 	}
 	return n.routes.Homes(route, tenant)
 }
@@ -24,11 +24,11 @@
 // nothing to say.
 func (n *Node) Served(route *port.Route, tenant string) bool {
 	homes := n.Homes(route, tenant)
-	if !homes.Bound || route == nil || !n.listsAll() {
+	if !homes.Restricted || route == nil || !n.listsAll() {
 		return true
 	}
 	for _, backend := range route.Backends {
-		if backend.Weight > 0 && slices.ContainsFunc(n.endpoints.Service(backend.Service), func(e *endpoint.Endpoint) bool { return homes.Allow(e.Region) }) {
+		if backend.Weight > 0 && slices.ContainsFunc(n.endpoints.Service(backend.Service), func(e *endpoint.Endpoint) bool { return homes.Allows(e.Region) }) {
 			return true
 		}
 	}
@@ -49,11 +49,11 @@
 }
 
 // within returns the endpoints that lie in homes.
-func within(homes port.Homes, list []*endpoint.Endpoint) []*endpoint.Endpoint {
-	if !homes.Bound {
+func within(homes port.AllowedRegions, list []*endpoint.Endpoint) []*endpoint.Endpoint {
+	if !homes.Restricted {
 		return list
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(e *endpoint.Endpoint) bool { return !homes.Allow(e.Region) })
+	return slices.DeleteFunc(slices.Clone(list), func(e *endpoint.Endpoint) bool { return !homes.Allows(e.Region) })
 }
 
 // NoteConnection takes how long it took to open a connection to a replica's address.
--- a/internal/process/cluster/lapse_test.go
+++ b/internal/process/cluster/lapse_test.go
@@ -54,11 +54,11 @@
 // replicaDecoder reads a record of the list of replicas by its key alone.
 type replicaDecoder struct{ decoder }
 
-func (replicaDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (replicaDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		if record.Deleted {
-			change.Gone = append(change.Gone, port.GoneReplica{ID: record.Key, Revision: record.Revision})
+			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 			continue
 		}
 		change.Replicas = append(change.Replicas, port.ReplicaRecord{ID: record.Key, Service: "s"})
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -16,15 +16,15 @@
 // listDecoder reads the records of a deployment as JSON.
 type listDecoder struct{ decoder }
 
-func (listDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (listDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		var one port.ReplicaRecord
 		switch {
 		case record.Table == "operator":
 			change.Routes = &port.RouteTable{Version: 1}
 		case record.Deleted:
-			change.Gone = append(change.Gone, port.GoneReplica{ID: record.Key, Revision: record.Revision})
+			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		case json.Unmarshal(record.Value, &one) == nil:
 			one.Revision = record.Revision
 			change.Replicas = append(change.Replicas, one)
--- a/internal/process/cluster/unreadable_test.go
+++ b/internal/process/cluster/unreadable_test.go
@@ -13,18 +13,18 @@
 // strangeDecoder takes records that begin with a question mark for those of other writers.
 type strangeDecoder struct{ replicaDecoder }
 
-func (d strangeDecoder) DecodeDeployment(records []port.Record) port.Deployment {
-	var change port.Deployment
+func (d strangeDecoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
+	var change port.DeploymentUpdate
 	for _, record := range records {
 		if !strings.HasPrefix(string(record.Value), "?") {
 			part := d.replicaDecoder.DecodeDeployment([]port.Record{record})
 			for i := range part.Replicas {
 				part.Replicas[i].Revision = record.Revision
 			}
-			change.Replicas, change.Gone = append(change.Replicas, part.Replicas...), append(change.Gone, part.Gone...)
+			change.Replicas, change.Removed = append(change.Replicas, part.Replicas...), append(change.Removed, part.Removed...)
 			continue
 		}
-		change.Gone = append(change.Gone, port.GoneReplica{ID: record.Key, Revision: record.Revision})
+		change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		change.Unreadable = append(change.Unreadable, port.UnreadableRecord{Key: record.Key, Revision: record.Revision, Reason: "strange"})
 	}
 	return change
@@ -71,7 +71,7 @@
 	}{{4, true}, {6, false}, {0, false}} {
 		n := newNode()
 		n.putReplica(start, n.endpoints.Put(port.ReplicaRecord{ID: "r", Service: "s", Revision: 5}))
-		n.removeGone(start, port.GoneReplica{ID: "r", Revision: c.revision}, false)
+		n.removeGone(start, port.RemovedReplica{ID: "r", Revision: c.revision}, false)
 		if kept := n.endpoints.Find("r") != nil; kept != c.kept {
 			t.Errorf("kept %t after a removal at revision %d", kept, c.revision)
 		}
--- a/internal/simulation/clustersim/check_homes.go
+++ b/internal/simulation/clustersim/check_homes.go
@@ -39,7 +39,7 @@
 // homesRecord is what was told and seen of homes.
 type homesRecord struct {
 	// versions are the homes of each route by the version of the configuration.
-	versions map[int64]map[string]port.Homes
+	versions map[int64]map[string]port.AllowedRegions
 	// handedIn are the regions of the nodes that each job was handed to.
 	handedIn map[string][]string
 	// since is when each node came to go by its present homes.
@@ -52,14 +52,14 @@
 }
 
 func newHomesRecord() homesRecord {
-	return homesRecord{versions: map[int64]map[string]port.Homes{}, handedIn: map[string][]string{}, since: map[string]nodeVersion{}}
+	return homesRecord{versions: map[int64]map[string]port.AllowedRegions{}, handedIn: map[string][]string{}, since: map[string]nodeVersion{}}
 }
 
 // written notes the homes of a version that the operators write.
 func (h homesRecord) written(table port.RouteTable) {
-	byRoute := map[string]port.Homes{}
+	byRoute := map[string]port.AllowedRegions{}
 	for _, route := range table.Routes {
-		byRoute[route.Name] = port.NewHomes(route.AllowedRegions)
+		byRoute[route.Name] = port.NewAllowedRegions(route.AllowedRegions)
 	}
 	h.versions[table.Version] = byRoute
 }
@@ -70,9 +70,9 @@
 }
 
 // of returns the homes of a route by the version that a node goes by.
-func (h homesRecord) of(n *node, route string) port.Homes {
+func (h homesRecord) of(n *node, route string) port.AllowedRegions {
 	if n.node.Routes() == nil {
-		return port.Homes{}
+		return port.AllowedRegions{}
 	}
 	return h.versions[n.node.Routes().Version()][route]
 }
@@ -80,7 +80,7 @@
 // mayHold reports whether a node may hold the content of a job, by the version that it goes by.
 func (h homesRecord) mayHold(n *node, known *jobRecord) bool {
 	region := regions[n.zone]
-	return h.of(n, known.content.Route).Allow(region) || slices.Contains(h.handedIn[known.content.Id], region)
+	return h.of(n, known.content.Route).Allows(region) || slices.Contains(h.handedIn[known.content.Id], region)
 }
 
 // sentTo checks what a node sends to a replica for a job, by a route or, if it is empty, by the job's: the node goes by some version, whether or
@@ -92,7 +92,7 @@
 	if route == "" {
 		route = known.content.Route
 	}
-	if homes := c.homes.of(n, route); !homes.Allow(regions[zone]) {
+	if homes := c.homes.of(n, route); !homes.Allows(regions[zone]) {
 		c.violate(w, "homes-kept", "%s sends %s to %s, its homes are %v", n.name, request, regions[zone], homes.Regions)
 	}
 	if !c.homes.mayHold(n, known) {
--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -95,7 +95,7 @@
 }
 
 // Order takes a version order.
-func (g *Generator) Order(now time.Time, order port.OrderVersion) port.VersionOrderStatus {
+func (g *Generator) Order(now time.Time, order port.VersionOrder) port.VersionOrderStatus {
 	g.settle(now)
 	switch {
 	case order.Replica != g.ID:
@@ -103,7 +103,7 @@
 	case order.Fence < g.fence && !g.Unfenced:
 		return port.VersionOrderFenced
 	case g.Versions[order.Model] == order.Version:
-		return port.VersionOrderHeld
+		return port.VersionOrderAlreadyLoaded
 	case g.loading != "" || order.ExpectedSequence != g.sequence:
 		return port.VersionOrderConflict
 	}
--- a/internal/version/batch/preference.go
+++ b/internal/version/batch/preference.go
@@ -14,7 +14,7 @@
 
 // storeLatency returns the recent latency of store calls, or 0 in a single-region deployment.
 func (j *Jobs) storeLatency() time.Duration {
-	if !j.options.Topology.Several() {
+	if !j.options.Topology.MultiRegion() {
 		return 0
 	}
 	return j.options.StoreLatency()
@@ -23,7 +23,7 @@
 // ownPlace returns this node's zone and store latency for publication in head records, or nil
 // in a single-region deployment.
 func (j *Jobs) ownPlace() *doorstepv1.OwnerPlace {
-	if !j.options.Topology.Several() {
+	if !j.options.Topology.MultiRegion() {
 		return nil
 	}
 	return &doorstepv1.OwnerPlace{Zone: j.options.Topology.Zone, StoreLatencyMs: int32(j.storeLatency().Milliseconds())}
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -13,7 +13,7 @@
 // current configuration. The zero value allows any region.
 type Homes struct {
 	// RegionsOf returns the home regions of a route's and a tenant's requests; the route may be nil.
-	RegionsOf func(route *port.Route, tenant string) port.Homes
+	RegionsOf func(route *port.Route, tenant string) port.AllowedRegions
 	// RouteByName returns the route with the given name, or nil.
 	RouteByName func(name string) *port.Route
 	// ConfigurationLoaded reports whether a configuration has been loaded; nil means always.
@@ -23,15 +23,15 @@
 	HasReplica func(route *port.Route, tenant string) bool
 }
 
-func (h Homes) regionsOf(route *port.Route, tenant string) port.Homes {
+func (h Homes) regionsOf(route *port.Route, tenant string) port.AllowedRegions {
 	if h.RegionsOf == nil {
-		return port.Homes{}
+		return port.AllowedRegions{}
 	}
 	return h.RegionsOf(route, tenant)
 }
 
 // regionsOfHead returns the home regions of a job from its head record.
-func (h Homes) regionsOfHead(head *doorstepv1.BatchJobHead) port.Homes {
+func (h Homes) regionsOfHead(head *doorstepv1.BatchJobHead) port.AllowedRegions {
 	var route *port.Route
 	if h.RouteByName != nil && head.Route != "" {
 		route = h.RouteByName(head.Route)
@@ -49,14 +49,14 @@
 
 // mayHold reports whether this node may hold a job's content, because it is in a home region or
 // in the region that accepted the job.
-func (j *Jobs) mayHold(homes port.Homes, acceptedIn string) bool {
+func (j *Jobs) mayHold(homes port.AllowedRegions, acceptedIn string) bool {
 	region := j.options.Topology.Region
-	return homes.Allow(region) || region != "" && region == acceptedIn
+	return homes.Allows(region) || region != "" && region == acceptedIn
 }
 
 // ownerRegions returns the regions whose nodes may own a job; nil means any.
-func ownerRegions(homes port.Homes, acceptedIn string) []string {
-	if !homes.Bound {
+func ownerRegions(homes port.AllowedRegions, acceptedIn string) []string {
+	if !homes.Restricted {
 		return nil
 	}
 	regions := slices.Clone(homes.Regions)
@@ -67,9 +67,9 @@
 }
 
 // bindRegions sets the regions that may own the job in a new head record.
-func (j *Jobs) bindRegions(head *doorstepv1.BatchJobHead, job *doorstepv1.BatchJob, homes port.Homes) {
+func (j *Jobs) bindRegions(head *doorstepv1.BatchJobHead, job *doorstepv1.BatchJob, homes port.AllowedRegions) {
 	topology := j.options.Topology
-	if topology.Several() || homes.Bound {
+	if topology.MultiRegion() || homes.Restricted {
 		head.Route, head.AcceptedIn = job.Route, topology.Region
 	}
 	head.Regions = ownerRegions(homes, topology.Region)
@@ -83,7 +83,7 @@
 	if len(head.Regions) > 0 && (topology.Region == "" || !slices.Contains(head.Regions, topology.Region)) {
 		return false
 	}
-	if topology.Several() && !h.configurationLoaded() {
+	if topology.MultiRegion() && !h.configurationLoaded() {
 		return false
 	}
 	return j.mayHold(h.regionsOfHead(head), head.AcceptedIn)
@@ -104,13 +104,15 @@
 }
 
 // homes returns the job's home regions in the current configuration.
-func (o *ownedJob) homes() port.Homes { return o.jobs.options.Homes.regionsOf(o.route(), o.job.Tenant) }
+func (o *ownedJob) homes() port.AllowedRegions {
+	return o.jobs.options.Homes.regionsOf(o.route(), o.job.Tenant)
+}
 
 // enforceHomes hands the job over if a new configuration excludes this node's region, and logs
 // home regions without a replica.
 func (o *ownedJob) enforceHomes(now time.Time) {
 	homes := o.homes()
-	if o.releasing || !homes.Bound && !o.noReplica {
+	if o.releasing || !homes.Restricted && !o.noReplica {
 		return
 	}
 	h := o.jobs.options.Homes
@@ -136,7 +138,7 @@
 
 // updateHeadRegions updates the regions in a head record. They are kept unchanged if the job
 // has no home regions or no node could be in one.
-func updateHeadRegions(next *doorstepv1.BatchJobHead, homes port.Homes) {
+func updateHeadRegions(next *doorstepv1.BatchJobHead, homes port.AllowedRegions) {
 	if regions := ownerRegions(homes, next.AcceptedIn); len(regions) > 0 {
 		next.Regions = regions
 	}
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -99,7 +99,7 @@
 			state.requestPending = false
 			r.options.Queue.Log(event.OrderProbed, "replica", load.endpoint.ID, "fence", fence, "status", int(status))
 			switch status {
-			case port.VersionOrderAccepted, port.VersionOrderHeld, port.VersionOrderConflict:
+			case port.VersionOrderAccepted, port.VersionOrderAlreadyLoaded, port.VersionOrderConflict:
 				state.lastProbeAt = now
 				r.Tick(now)
 			case port.VersionOrderFenced:
@@ -112,8 +112,8 @@
 	})
 }
 
-func (r *Rollout) newOrder(load pendingLoad, fence, sequence int64) port.OrderVersion {
-	return port.OrderVersion{
+func (r *Rollout) newOrder(load pendingLoad, fence, sequence int64) port.VersionOrder {
+	return port.VersionOrder{
 		Replica: load.endpoint.ID, Address: load.endpoint.Address, Model: load.model, Version: load.version,
 		Holder: r.options.Self, Fence: fence, ExpectedSequence: sequence,
 	}
@@ -148,7 +148,7 @@
 	switch status {
 	case port.VersionOrderAccepted:
 		state.acknowledged = true
-	case port.VersionOrderHeld:
+	case port.VersionOrderAlreadyLoaded:
 		load.endpoint.LearnVersion(load.model, load.version)
 	case port.VersionOrderUnknown:
 		state.notBefore = now.Add(reportInterval)
--- a/internal/version/routes/homes.go
+++ b/internal/version/routes/homes.go
@@ -6,14 +6,14 @@
 // Both the route's and the tenant's restrictions apply. route may be nil and tenant empty. If the
 // route is from another version of the configuration, the restrictions of this version's route of
 // the same name apply as well.
-func (t *Table) Homes(route *port.Route, tenant string) port.Homes {
+func (t *Table) Homes(route *port.Route, tenant string) port.AllowedRegions {
 	homes := t.homes[tenant]
 	if route == nil {
 		return homes
 	}
-	homes = homes.And(port.NewHomes(route.AllowedRegions))
+	homes = homes.Intersect(port.NewAllowedRegions(route.AllowedRegions))
 	if newer := t.RouteByName(route.Name); newer != nil && newer != route {
-		homes = homes.And(port.NewHomes(newer.AllowedRegions))
+		homes = homes.Intersect(port.NewAllowedRegions(newer.AllowedRegions))
 	}
 	return homes
 }
@@ -22,11 +22,11 @@
 func (t *Table) RouteByName(name string) *port.Route { return t.byName[name] }
 
 // homesByTenant returns the home regions of the tenants that have any.
-func homesByTenant(tenants []port.Tenant) map[string]port.Homes {
-	homes := map[string]port.Homes{}
+func homesByTenant(tenants []port.Tenant) map[string]port.AllowedRegions {
+	homes := map[string]port.AllowedRegions{}
 	for _, tenant := range tenants {
 		if len(tenant.AllowedRegions) > 0 {
-			homes[tenant.Name] = port.NewHomes(tenant.AllowedRegions)
+			homes[tenant.Name] = port.NewAllowedRegions(tenant.AllowedRegions)
 		}
 	}
 	return homes
--- a/internal/version/routes/homes_test.go
+++ b/internal/version/routes/homes_test.go
@@ -24,7 +24,7 @@
 		{route, "red", "south", true}, {route, "red", "west", false}, {route, "red", "north", false},
 		{route, "blue", "west", true}, {route, "", "north", false}, {nil, "red", "north", true}, {nil, "blue", "west", true},
 	} {
-		if got := table.Homes(c.route, c.tenant).Allow(c.region); got != c.allowed {
+		if got := table.Homes(c.route, c.tenant).Allows(c.region); got != c.allowed {
 			t.Errorf("route %t, tenant %q, %s: allowed %t", c.route != nil, c.tenant, c.region, got)
 		}
 	}
@@ -35,11 +35,11 @@
 func TestHomesChangeDuringRequest(t *testing.T) {
 	olderRoute := newTable(1).Match("h", "/x")
 	narrowed := newTable(2, "north")
-	if homes := narrowed.Homes(olderRoute, ""); !homes.Allow("north") || homes.Allow("south") {
+	if homes := narrowed.Homes(olderRoute, ""); !homes.Allows("north") || homes.Allows("south") {
 		t.Errorf("homes after narrowing: %+v", homes)
 	}
 	restricted := newTable(1, "north").Match("h", "/x")
-	if homes := newTable(2).Homes(restricted, ""); !homes.Allow("north") || homes.Allow("south") {
+	if homes := newTable(2).Homes(restricted, ""); !homes.Allows("north") || homes.Allows("south") {
 		t.Errorf("homes after widening: %+v", homes)
 	}
 }
--- a/internal/version/routes/routes.go
+++ b/internal/version/routes/routes.go
@@ -22,7 +22,7 @@
 	// are configured.
 	tenants map[port.KeyDigest]string
 	// homes holds the home regions of the tenants that have any, by the tenants' names.
-	homes map[string]port.Homes
+	homes map[string]port.AllowedRegions
 }
 
 // New returns the table for a version of the configuration.
