--- a/internal/process/cluster/clock.go
+++ b/internal/process/cluster/clock.go
@@ -2,39 +2,38 @@
 
 import "time"
 
-// storeClock bounds the store's steady clock. An answer names the clock's reading at
-// some moment between the sending of its call and its coming, so each answer bounds the
-// difference to this node's clock from both sides.
+// storeClock estimates the store's monotonic clock. A response carries a reading taken between the sending
+// of the call and the arrival of the response, which bounds the offset to the node's clock on both sides.
 type storeClock struct {
 	base  time.Time
 	known bool
-	// least and most bound the store's reading at base.
-	least, most time.Duration
+	// lower and upper bound the store's reading at base.
+	lower, upper time.Duration
 }
 
-func (c *storeClock) note(now, sentAt time.Time, reading time.Duration) {
+func (c *storeClock) observe(now, sentAt time.Time, reading time.Duration) {
 	least, most := reading-now.Sub(c.base), reading-sentAt.Sub(c.base)
 	if !c.known {
-		c.known, c.least, c.most = true, least, most
+		c.known, c.lower, c.upper = true, least, most
 		return
 	}
-	c.least = max(c.least, least)
-	c.most = min(c.most, most)
+	c.lower = max(c.lower, least)
+	c.upper = min(c.upper, most)
 }
 
-// bounds returns the least and the most that the store's clock may show now; known is
-// false before the first answer.
+// bounds returns the lower and upper bound of the store's clock at now; known is false before the
+// first response.
 func (c *storeClock) bounds(now time.Time) (least, most time.Duration, known bool) {
 	since := now.Sub(c.base)
-	return c.least + since, c.most + since, c.known
+	return c.lower + since, c.upper + since, c.known
 }
 
-// knownWell is how far apart the bounds may be for their middle to stand for the clock: half of
-// it is the error. The platform's stores answer in 4 ms; one that is slow takes hundreds.
-const knownWell = 100 * time.Millisecond
+// maxClockUncertainty is the maximum distance between the bounds at which their midpoint is used as the
+// clock. The error is at most half of it.
+const maxClockUncertainty = 100 * time.Millisecond
 
-// reading returns the clock's reading at a time, false while it is not known well.
-func (c *storeClock) reading(at time.Time) (time.Duration, bool) {
+// estimate returns the midpoint of the bounds at a time, false while they are too far apart.
+func (c *storeClock) estimate(at time.Time) (time.Duration, bool) {
 	least, most, known := c.bounds(at)
-	return (least + most) / 2, known && most-least <= knownWell
+	return (least + most) / 2, known && most-least <= maxClockUncertainty
 }
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -1,9 +1,8 @@
-// Package cluster composes the machines of a node that shares its state with the
-// others through the platform's record store alone. Nodes know nothing of one
-// another: each is given the same tables, and every duty has one holder by a record.
+// Package cluster combines the state machines of one doorstep node. Nodes do not talk to each other:
+// they coordinate through the platform's record store, and each singleton duty is guarded by a lease.
 //
-// Nothing here does I/O or reads a clock. The daemon and the simulator call a Node
-// under one lock and carry out the tasks that it leaves.
+// The package does no I/O and reads no clock. The daemon and the simulator call a Node under one lock
+// and execute the tasks it queues.
 package cluster
 
 import (
@@ -29,18 +28,16 @@
 )
 
 const (
-	// unreadyAfter is how long the store may be silent before a node calls itself not
-	// ready: others may reach it.
-	unreadyAfter = 2500 * time.Millisecond
-	// leaveAfter is how long a stopping node goes on taking connections, so that
-	// nothing is sent to it in vain before all know.
-	leaveAfter = 3 * time.Second
-	// LeasePartition holds the leases, in the shared table.
+	// readinessTimeout is how long the store may go unanswered before the node reports itself not ready.
+	readinessTimeout = 2500 * time.Millisecond
+	// shutdownDelay is how long a stopping node keeps accepting connections, so that clients and load
+	// balancers can notice.
+	shutdownDelay = 3 * time.Second
+	// LeasePartition is the partition of the shared table that holds the leases.
 	LeasePartition = "leases"
 )
 
-// DeploymentDecoder reads the records in which the platform keeps what operators,
-// trainers and replicas say.
+// DeploymentDecoder decodes the platform's records about operators, trainers and replicas.
 type DeploymentDecoder interface {
 	DeploymentTables() []string
 	DecodeDeployment(records []port.Record) port.Deployment
@@ -51,28 +48,28 @@
 // Options configure a Node.
 type Options struct {
 	Name string
-	// Topology is where the node stands among zones and regions.
+	// Topology is the node's zone and region.
 	Topology port.Topology
-	// Cold bounds what cold replicas get.
+	// Cold limits the requests sent to cold replicas.
 	Cold settings.Cold
-	// Incarnation differs from that of any other life of this node.
+	// Incarnation is unique to this run of the node.
 	Incarnation uint64
 	Decoder     DeploymentDecoder
-	// OrderPause is the least time between the orders of two holders.
+	// OrderPause is the minimum time between the orders of two successive lease holders.
 	OrderPause time.Duration
-	// WallAhead returns by how much this node's time of day is ahead of the times that its
-	// calls are given; nil where these are its time of day.
+	// WallAhead returns how far the node's wall clock is ahead of the times passed to its methods; nil
+	// if those are wall clock times.
 	WallAhead func() time.Duration
-	// Duties are the calls to the platform that one node at a time makes.
+	// Duties are the platform calls made by one node at a time.
 	Duties Duties
-	// ProcessorShare is the part of a core that this node may use, 0 where that is not told.
+	// ProcessorShare is the fraction of a core available to this node, 0 if unknown.
 	ProcessorShare float64
-	// LargeList is from how many replicas on the list of them is not followed without use for it,
-	// recordwatch.LargeTable if it is 0.
+	// LargeList is the number of replicas from which on the list is followed only on demand; 0 means
+	// recordwatch.LargeTable.
 	LargeList int
 }
 
-// Node is one node; all calls come from one loop.
+// Node is the state of one node. All methods are called from a single loop.
 type Node struct {
 	options   Options
 	queue     *task.Queue
@@ -82,10 +79,10 @@
 	endpoints *endpoint.Registry
 	distances *distance.Distances
 	jobs      *batch.Jobs
-	// quarantine knows the requests that crash replicas.
+	// quarantine tracks requests that crash replicas.
 	quarantine *quarantine.Quarantine
 	cold       coldReplicas
-	// leases holds all leases by their keys, lease is that of the version orders.
+	// leases holds all leases by key; lease is the one for version orders.
 	leases  map[string]*recordlease.Lease
 	lease   *recordlease.Lease
 	usage   *usageDuty
@@ -93,35 +90,35 @@
 	rollout *rollout.Rollout
 	needs   modelNeeds
 	watches []*recordwatch.Watch
-	// replicas is the watch of the list of replicas, replicaUse what this node uses the list for.
-	replicas   *recordwatch.Watch
-	replicaUse replicaUse
-	// shared is the watch of the shared table, the last of the watches; readers counts the callers that
-	// wait for a change of it.
-	shared    *recordwatch.Watch
-	readers   int
-	operators *doorstepv1.Configuration
-	drained   bool
-	// evacuated holds the zones whose replicas get nothing.
+	// replicas watches the list of replicas; replicaDemand is what this node needs from it.
+	replicas      *recordwatch.Watch
+	replicaDemand replicaDemand
+	// shared watches the shared table and is the last of watches; jobWaiters counts the callers waiting
+	// for a job to change.
+	shared         *recordwatch.Watch
+	jobWaiters     int
+	operatorConfig *doorstepv1.Configuration
+	drained        bool
+	// evacuated holds the zones whose replicas get no work.
 	evacuated  map[string]bool
 	lapses     lapses
 	unreadable unreadableRecords
-	// silentAdds is set while a whole reading adds more replicas than the log takes a line for.
-	silentAdds bool
-	status     statusWriter
-	census     census
-	clock      storeClock
-	latency    callLatency
-	startedAt  time.Time
-	stoppingAt time.Time
-	rotation   uint64
+	// suppressAddLogs is set while a full read adds more replicas than are logged one by one.
+	suppressAddLogs bool
+	status          statusWriter
+	nodeCount       nodeCounter
+	clock           storeClock
+	latency         callLatency
+	startedAt       time.Time
+	stoppingAt      time.Time
+	rotation        uint64
 }
 
-// New returns a node that knows nothing yet.
+// New returns a node with empty state.
 func New(now time.Time, options Options) *Node {
 	n := &Node{
 		options: options, queue: &task.Queue{}, endpoints: endpoint.NewRegistry(), startedAt: now, clock: storeClock{base: now},
-		distances: distance.New(options.Topology), replicaUse: replicaUse{wanted: firstReplicas},
+		distances: distance.New(options.Topology), replicaDemand: replicaDemand{perService: initialReplicas},
 		lapses: lapses{kept: map[string]bool{}}, unreadable: unreadableRecords{}, leases: map[string]*recordlease.Lease{},
 		random: rand.New(rand.NewPCG(options.Incarnation, uint64(len(options.Name)))),
 	}
@@ -131,9 +128,9 @@
 	n.cold = n.newColdReplicas()
 	n.jobs = batch.New(batch.Options{
 		Self: options.Name, Incarnation: options.Incarnation, Topology: options.Topology, Queue: n.queue, Random: n.random,
-		Place: n.place, PlaceScoring: n.placeScoring, Find: n.endpoints.Find, Route: n.Route, Clock: n.clock.bounds,
+		Place: n.placeItem, PlaceScoring: n.placeScoring, Find: n.endpoints.Find, Route: n.Route, Clock: n.clock.bounds,
 		Latency: n.Latency, Nodes: n.Nodes, Standing: n.standing,
-		LengthHint: options.Decoder.LengthHint, MostEvents: n.mostEvents, ExpectedTokens: n.expectedTokens, Observed: n.observed,
+		LengthHint: options.Decoder.LengthHint, MostEvents: n.maxEvents, ExpectedTokens: n.expectedTokens, Observed: n.sharedObservedUntil,
 		Quarantine: n.quarantine, Homes: n.jobHomes(),
 	})
 	n.lease = n.newOrderLease()
@@ -146,40 +143,40 @@
 	n.rollout = rollout.New(rollout.Options{
 		Self: options.Name, Queue: n.queue, Lease: n.lease, Endpoints: n.workingSet, Demand: n.demand, Longest: n.jobs.Longest, WallClock: n.wallClock,
 	})
-	n.operators = configuration.Empty()
+	n.operatorConfig = configuration.Empty()
 	n.watchTables()
 	n.queue.Log(event.ProcessStarted, "node", options.Name, "zone", options.Topology.Zone, "incarnation", options.Incarnation)
 	return n
 }
 
-// observed returns the time up to which a change of the shared table would have been heard
-// of, zero before it was read.
-func (n *Node) observed(now time.Time) time.Time {
+// sharedObservedUntil returns the time up to which changes of the shared table are known, zero before
+// the first read.
+func (n *Node) sharedObservedUntil(now time.Time) time.Time {
 	if !n.shared.Read() {
 		return time.Time{}
 	}
 	return n.shared.ObservedUntil(now)
 }
 
-// Take returns the tasks left since the last call.
+// Take returns and clears the queued tasks.
 func (n *Node) Take() []task.Task { return n.queue.Take() }
 
 // Jobs returns the batch jobs.
 func (n *Node) Jobs() *batch.Jobs { return n.jobs }
 
-// Quarantine returns the requests that crash replicas.
+// Quarantine returns the node's quarantine.
 func (n *Node) Quarantine() *quarantine.Quarantine { return n.quarantine }
 
-// Endpoints returns the replicas.
+// Endpoints returns the registry of replicas.
 func (n *Node) Endpoints() *endpoint.Registry { return n.endpoints }
 
-// Lease returns the lease of the version orders.
+// Lease returns the lease for version orders.
 func (n *Node) Lease() *recordlease.Lease { return n.lease }
 
-// Routes returns the configuration in force, nil before the first.
+// Routes returns the active route table, nil before the first.
 func (n *Node) Routes() *routes.Table { return n.routes }
 
-// Route returns a request's route, nil when there is none.
+// Route returns the route that matches a request, nil if none does.
 func (n *Node) Route(host, path string) *port.Route {
 	if n.routes == nil {
 		return nil
@@ -187,16 +184,16 @@
 	return n.routes.Match(host, path)
 }
 
-// ConfigurationAge returns how old the confirmation of the configuration in force is.
-func (n *Node) ConfigurationAge(now time.Time) time.Duration { return n.age(now, n.watches[0]) }
+// ConfigurationAge returns the time since the active configuration was last confirmed.
+func (n *Node) ConfigurationAge(now time.Time) time.Duration { return n.watchAge(now, n.watches[0]) }
 
-// DiscoveryAge returns how old the confirmation of the list of replicas is.
+// DiscoveryAge returns the time since the list of replicas was last confirmed.
 func (n *Node) DiscoveryAge(now time.Time) time.Duration {
-	return n.age(now, n.watches[len(n.options.Decoder.DeploymentTables())-1])
+	return n.watchAge(now, n.watches[len(n.options.Decoder.DeploymentTables())-1])
 }
 
-// age returns how long a watch has not heard; one that never has is as old as the node.
-func (n *Node) age(now time.Time, watch *recordwatch.Watch) time.Duration {
+// watchAge returns the time since a watch last confirmed its table, at most the node's uptime.
+func (n *Node) watchAge(now time.Time, watch *recordwatch.Watch) time.Duration {
 	observed := watch.ObservedUntil(now)
 	if observed.Before(n.startedAt) {
 		observed = n.startedAt
@@ -204,7 +201,7 @@
 	return now.Sub(observed)
 }
 
-// Tick drives all machines.
+// Tick advances all state machines.
 func (n *Node) Tick(now time.Time) {
 	for _, watch := range n.watches {
 		watch.Tick(now)
@@ -212,12 +209,12 @@
 	n.tickLapses(now)
 	n.tickCold(now)
 	n.lease.Tick(now)
-	if n.listsAll() || !n.lease.Held(now) {
+	if n.knowsAllReplicas() || !n.lease.Held(now) {
 		n.rollout.Tick(now)
 	}
 	n.jobs.Tick(now)
 	n.quarantine.Tick(now)
-	// One node is enough to collect, and two at once would do no harm.
+	// One collecting node is enough; two at once are harmless.
 	n.jobs.Collect(now, n.lease.Held(now))
 	if n.lease.Held(now) {
 		n.quarantine.Collect(now)
@@ -225,25 +222,25 @@
 	}
 	n.tickDuties(now)
 	n.tickStatus(now)
-	n.tickCensus(now)
+	n.tickNodeCount(now)
 	n.tickLatency(now)
 }
 
-// NoteClock takes the store's clock from the answer to a call that was sent at sentAt.
+// NoteClock records a reading of the store's clock from the response to a call sent at sentAt.
 func (n *Node) NoteClock(now, sentAt time.Time, clock time.Duration) {
-	n.clock.note(now, sentAt, clock)
+	n.clock.observe(now, sentAt, clock)
 }
 
-// StoreClock returns the least that the store's clock shows at a time.
+// StoreClock returns a lower bound on the store's clock at a time.
 func (n *Node) StoreClock(at time.Time) time.Duration {
 	least, _, _ := n.clock.bounds(at)
 	return least
 }
 
-// NoteLatency takes how long a call to the store took that was answered at once.
-func (n *Node) NoteLatency(took time.Duration) { n.latency.note(took) }
+// NoteLatency records the duration of a store call that was answered immediately.
+func (n *Node) NoteLatency(took time.Duration) { n.latency.observe(took) }
 
-// Ready reports whether the node wants new connections.
+// Ready reports whether the node should receive new connections.
 func (n *Node) Ready(now time.Time) bool {
 	if n.Stopping() || n.drained || n.routes == nil {
 		return false
@@ -257,10 +254,10 @@
 			answered = watch.AnswerAt()
 		}
 	}
-	return now.Sub(answered) <= unreadyAfter
+	return now.Sub(answered) <= readinessTimeout
 }
 
-// Stop begins the planned stop: duties are handed over, requests are still served.
+// Stop starts a graceful shutdown: duties are handed over while requests are still served.
 func (n *Node) Stop(now time.Time) {
 	if n.Stopping() {
 		return
@@ -274,22 +271,23 @@
 	n.removeStatus()
 }
 
-// Stopping reports whether the planned stop has begun.
+// Stopping reports whether a graceful shutdown has started.
 func (n *Node) Stopping() bool { return !n.stoppingAt.IsZero() }
 
-// MayLeave reports whether nobody sends to this node any more.
+// MayLeave reports whether a stopping node may exit: clients have had time to notice, jobs are handed over and
+// usage counts are stored. It waits for the latter two only for a limited time.
 func (n *Node) MayLeave(now time.Time) bool {
 	stopping := now.Sub(n.stoppingAt)
-	return n.Stopping() && stopping >= leaveAfter && (n.jobs.Owned() == 0 || stopping >= 2*leaveAfter) && (n.counted() || stopping >= writtenWithin)
+	return n.Stopping() && stopping >= shutdownDelay && (n.jobs.Owned() == 0 || stopping >= 2*shutdownDelay) && (n.usageFlushed() || stopping >= usageFlushTimeout)
 }
 
-// apply puts a newer configuration in force; an older one never comes back.
-func (n *Node) apply(now time.Time, table *port.RouteTable) {
+// applyRoutes activates a route table unless a newer version is already active.
+func (n *Node) applyRoutes(now time.Time, table *port.RouteTable) {
 	if n.routes != nil && table.Version <= n.routes.Version() {
 		return
 	}
 	n.routes = routes.New(table)
-	n.cold.bounded = slices.ContainsFunc(table.Services, func(service port.Service) bool { return service.Cold != nil })
+	n.cold.limited = slices.ContainsFunc(table.Services, func(service port.Service) bool { return service.Cold != nil })
 	n.queue.Log(event.RoutesApplied, "version", table.Version, "routes", len(table.Routes), "services", len(table.Services),
 		"since_start_ms", now.Sub(n.startedAt).Milliseconds())
 }
--- a/internal/process/cluster/cluster_test.go
+++ b/internal/process/cluster/cluster_test.go
@@ -39,14 +39,14 @@
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	n := newNode()
 	for _, c := range []struct{ offered, held int64 }{{5, 5}, {3, 5}, {5, 5}, {9, 9}, {8, 9}} {
-		n.apply(start, &port.RouteTable{Version: c.offered})
+		n.applyRoutes(start, &port.RouteTable{Version: c.offered})
 		if n.Routes().Version() != c.held {
-			t.Errorf("after %d the node goes by %d, should be %d", c.offered, n.Routes().Version(), c.held)
+			t.Errorf("after version %d the active version is %d, want %d", c.offered, n.Routes().Version(), c.held)
 		}
 	}
 }
 
-// answer answers all reads with an empty table, and watches with silence.
+// answer answers all reads with empty tables and leaves watches pending.
 func answer(n *Node, now time.Time, status port.RecordStatus) {
 	n.Tick(now)
 	for tasks := n.Take(); len(tasks) > 0; tasks = n.Take() {
@@ -65,53 +65,52 @@
 func TestReadiness(t *testing.T) {
 	n := newNode()
 	if n.Ready(start) {
-		t.Error("a node that has read nothing is not ready")
+		t.Error("ready before the first read")
 	}
 	answer(n, start, port.RecordUnknown)
 	if n.Ready(start) {
-		t.Error("nor is one that the store doesn't answer")
+		t.Error("ready although the store does not answer")
 	}
 	now := start.Add(time.Second)
 	answer(n, now, port.RecordDone)
 	if !n.Ready(now) {
-		t.Error("one that has read all tables is ready")
+		t.Error("not ready after reading all tables")
 	}
-	if n.Ready(now.Add(unreadyAfter + time.Millisecond)) {
-		t.Error("one whose store fell silent is not")
+	if n.Ready(now.Add(readinessTimeout + time.Millisecond)) {
+		t.Error("ready although the store has stopped answering")
 	}
 	n.Stop(now)
-	if n.Ready(now) || n.MayLeave(now) || !n.MayLeave(now.Add(leaveAfter)) {
-		t.Error("a stopping node is not ready, and leaves once all know")
+	if n.Ready(now) || n.MayLeave(now) || !n.MayLeave(now.Add(shutdownDelay)) {
+		t.Error("a stopping node must not be ready, and may leave only after shutdownDelay")
 	}
 }
 
 func TestStoreClock(t *testing.T) {
 	clock := storeClock{base: start}
 	if _, _, known := clock.bounds(start); known {
-		t.Error("unknown before the first answer")
+		t.Error("known before the first response")
 	}
-	clock.note(start.Add(time.Second), start, 100*time.Second)
-	clock.note(start.Add(3*time.Second), start.Add(2900*time.Millisecond), 102*time.Second+950*time.Millisecond)
+	clock.observe(start.Add(time.Second), start, 100*time.Second)
+	clock.observe(start.Add(3*time.Second), start.Add(2900*time.Millisecond), 102*time.Second+950*time.Millisecond)
 	least, most, _ := clock.bounds(start.Add(3 * time.Second))
 	if least != 102*time.Second+950*time.Millisecond || most != 103*time.Second {
-		t.Errorf("from %s to %s", least, most)
+		t.Errorf("bounds are %s and %s", least, most)
 	}
 }
 
-// TestClockIsUsedWhenItIsKnownWell: seed 172 of the simulator. While the store is slow its clock is
-// known to half a second, whose middle is off by as much; windows of use and the nodes' wall clocks
-// need it better.
-func TestClockIsUsedWhenItIsKnownWell(t *testing.T) {
+// TestClockNotUsedWhileUncertain checks that the clock is not used while the store is slow and the error of
+// its estimate is large. Simulator seed 172.
+func TestClockNotUsedWhileUncertain(t *testing.T) {
 	clock := storeClock{base: start}
-	if _, known := clock.reading(start); known {
+	if _, known := clock.estimate(start); known {
 		t.Error("known before the first answer")
 	}
-	clock.note(start.Add(600*time.Millisecond), start, 590*time.Millisecond)
-	if _, known := clock.reading(start); known {
-		t.Error("known well after an answer that took 600 ms")
+	clock.observe(start.Add(600*time.Millisecond), start, 590*time.Millisecond)
+	if _, known := clock.estimate(start); known {
+		t.Error("estimate available after a response that took 600 ms")
 	}
-	clock.note(start.Add(1008*time.Millisecond), start.Add(time.Second), 1004*time.Millisecond)
-	if reading, known := clock.reading(start.Add(2 * time.Second)); !known || (reading-2*time.Second).Abs() > 4*time.Millisecond {
-		t.Errorf("%s, known %t, after an answer that took 8 ms", reading, known)
+	clock.observe(start.Add(1008*time.Millisecond), start.Add(time.Second), 1004*time.Millisecond)
+	if reading, known := clock.estimate(start.Add(2 * time.Second)); !known || (reading-2*time.Second).Abs() > 4*time.Millisecond {
+		t.Errorf("estimate %s, known %t, after a response that took 8 ms", reading, known)
 	}
 }
--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// unconfirmedAfter is the age at which the list of replicas no longer bounds what a node may not
-	// have heard: a watch is held for 1.6 s, and is heard of within a second after that.
-	unconfirmedAfter = 3 * time.Second
-	// ownersEvery paces the count of nodes that send items; an owner counts for boundSpan, over which
-	// requests add up, after its job is over.
-	ownersEvery = 100 * time.Millisecond
-	boundSpan   = time.Second
-	// ownersKnownFor is the age at which a node's view of the owners no longer tells who else sends items.
-	ownersKnownFor = 1200 * time.Millisecond
-	// newcomerFor is how long a node that begins to run items takes a lesser part of the bucket: others
-	// may have begun at the same moment, or send as if alone until their view is ownersKnownFor old, and what
-	// they sent then counts for boundSpan.
-	newcomerFor = ownersKnownFor + boundSpan + 200*time.Millisecond
-	// returnedFor is how long a node whose view is confirmed again sends as one that is out of touch.
-	returnedFor = boundSpan + 200*time.Millisecond
+	// maxDiscoveryAge is the age at which the list of replicas is considered stale. It exceeds the time that
+	// a watch is held and a second for its response.
+	maxDiscoveryAge = 3 * time.Second
+	// ownersInterval is the time between two updates of the job owners. An owner counts for rateWindow, the
+	// window of the rate limit, after its job has ended.
+	ownersInterval = 100 * time.Millisecond
+	rateWindow     = time.Second
+	// maxOwnersAge is the age at which the view of the job owners is considered stale.
+	maxOwnersAge = 1200 * time.Millisecond
+	// newOwnerPeriod is how long a new owner of jobs takes a reduced share of the token bucket. Other nodes
+	// may have become owners at the same time, or may use the whole bucket until their view is maxOwnersAge
+	// old, and their requests count for rateWindow after that.
+	newOwnerPeriod = maxOwnersAge + rateWindow + 200*time.Millisecond
+	// reconnectPeriod is how long a node whose view was confirmed again is still treated as isolated.
+	reconnectPeriod = rateWindow + 200*time.Millisecond
 )
 
-// coldReplicas is what a node knows of replicas that bear little for some seconds after a start.
+// coldReplicas tracks recently started replicas, which accept a limited rate of requests while cold.
 type coldReplicas struct {
 	gate *coldstart.Gate
-	// known are the IDs of the replicas that were told to be cold, until they are warm.
+	// known holds the IDs of replicas known to be cold.
 	known map[string]bool
-	// bounded is set where a service's cold replicas bear little.
-	bounded bool
-	// owners are those of open jobs and of jobs that were open within boundSpan, as of ownersAt; seen
-	// holds when they were that last.
+	// limited is set if a service limits the requests to its cold replicas.
+	limited bool
+	// owners are the owners of jobs that were open within rateWindow, as of ownersAt; lastSeen holds
+	// when each was last seen.
 	owners   []batch.Owner
 	ownersAt time.Time
-	seen     map[batch.Owner]time.Time
-	// outOfTouchAt is when this node's view was last not confirmed.
-	outOfTouchAt time.Time
-	// owningSince is when this node became one of them, zero while it is none.
-	owningSince time.Time
+	lastSeen map[batch.Owner]time.Time
+	// staleAt is the last time at which this node's view was not confirmed.
+	staleAt time.Time
+	// ownerSince is when this node became a job owner, zero while it is none.
+	ownerSince time.Time
 }
 
 func (n *Node) newColdReplicas() coldReplicas {
@@ -52,12 +52,12 @@
 		gate: coldstart.New(coldstart.Options{
 			Self: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Clock: n.clock.bounds,
 		}),
-		known: map[string]bool{}, seen: map[batch.Owner]time.Time{},
+		known: map[string]bool{}, lastSeen: map[batch.Owner]time.Time{},
 	}
 }
 
-// coldBound returns what a service's cold replicas bear, false where they bear all at once.
-func (n *Node) coldBound(name string) (coldstart.Bound, bool) {
+// coldLimit returns the limit for a service's cold replicas, false if there is none.
+func (n *Node) coldLimit(name string) (coldstart.Bound, bool) {
 	if n.routes == nil {
 		return coldstart.Bound{}, false
 	}
@@ -68,13 +68,13 @@
 	return coldstart.NewBound(*service.Cold, n.options.Cold.Overshoot, n.options.Cold.Slack), true
 }
 
-// noteCold takes from a replica's record how long it is cold.
-func (n *Node) noteCold(now time.Time, put endpoint.Change) {
+// learnCold updates how long a replica is cold from its record.
+func (n *Node) learnCold(now time.Time, put endpoint.Change) {
 	one := put.Endpoint
-	// Others may still take a replica that started again under its ID for the warm one that it was.
+	// Other nodes may still treat a replica that restarted under the same ID as warm.
 	wasWarm := !put.Added && !now.Before(one.ColdUntil) || put.Former != nil && !now.Before(put.Former.ColdUntil)
 	one.LearnCold(now)
-	bound, ok := n.coldBound(one.Service)
+	bound, ok := n.coldLimit(one.Service)
 	if !ok || !now.Before(one.ColdUntil) || n.cold.known[one.ID] {
 		return
 	}
@@ -90,11 +90,11 @@
 	n.cold.gate.Forget(now, id)
 }
 
-// tickCold tells of replicas that became warm.
+// tickCold detects replicas that have become warm.
 func (n *Node) tickCold(now time.Time) {
-	if n.cold.bounded {
-		n.countOwners(now)
-		n.lonely(now)
+	if n.cold.limited {
+		n.refreshOwners(now)
+		n.isolated(now)
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.cold.known)) {
 		one := n.endpoints.Find(id)
@@ -108,24 +108,24 @@
 	}
 }
 
-// collectCold deletes the windows of replicas that are gone.
+// collectCold deletes the windows of removed replicas.
 func (n *Node) collectCold(now time.Time) {
-	if n.listsAll() && n.DiscoveryAge(now) < unconfirmedAfter {
+	if n.knowsAllReplicas() && n.DiscoveryAge(now) < maxDiscoveryAge {
 		n.cold.gate.Collect(now, func(id string) bool { return n.endpoints.Find(id) != nil })
 	}
 }
 
-// guard sets what bounds the sends to a service's replicas. Items and their scoring calls pass the
-// replica's token bucket at all times; callers' requests do while replicas may have turned cold of which
-// this node can't have heard.
-func (n *Node) guard(query *endpoint.Query, service string) {
+// setPermit sets the query's rate limit for a service's replicas. Items and their scoring calls are always
+// limited by the replica's token bucket. Callers' requests are limited only while the list of replicas is
+// stale, when replicas may have turned cold unnoticed.
+func (n *Node) setPermit(query *endpoint.Query, service string) {
 	query.ColdLasts, query.Permit = 0, nil
-	bound, ok := n.coldBound(service)
+	bound, ok := n.coldLimit(service)
 	if !ok {
 		return
 	}
 	query.ColdLasts = bound.Lasts
-	if query.Unguarded || query.Room == 0 && n.DiscoveryAge(query.Now) < unconfirmedAfter {
+	if query.Unguarded || query.Room == 0 && n.DiscoveryAge(query.Now) < maxDiscoveryAge {
 		return
 	}
 	items := query.Room > 0
@@ -134,10 +134,10 @@
 	}
 }
 
-// noteSend notes that a request is sent to the endpoint that was chosen for it.
-func (n *Node) noteSend(now time.Time, chosen *endpoint.Endpoint, items bool) {
+// recordSend accounts for a request that is about to be sent to an endpoint.
+func (n *Node) recordSend(now time.Time, chosen *endpoint.Endpoint, items bool) {
 	chosen.SendBy = time.Time{}
-	bound, ok := n.coldBound(chosen.Service)
+	bound, ok := n.coldLimit(chosen.Service)
 	if !ok {
 		return
 	}
@@ -148,14 +148,14 @@
 	n.cold.gate.Sent(now, chosen.ID, chosen.Service, bound, n.sender(now, chosen, items), cold)
 }
 
-// ColdFigures tell of cold replicas at this node.
+// ColdFigures are the node's statistics of cold replicas.
 type ColdFigures struct {
 	coldstart.Figures
-	// Replicas counts those that are known to be cold.
+	// Replicas counts the replicas known to be cold.
 	Replicas int
 }
 
-// Cold returns the figures of cold replicas.
+// Cold returns the statistics of cold replicas.
 func (n *Node) Cold() ColdFigures {
 	return ColdFigures{Figures: n.cold.gate.Figures(), Replicas: len(n.cold.known)}
 }
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	// coldLasts, coldPerSecond and coldMost are what cold replicas of these tests bear.
-	coldLasts     = 6 * time.Second
-	coldPerSecond = 9.3
-	coldMost      = 18
-	// storeTakes is how long a call to the store takes.
-	storeTakes = 8 * time.Millisecond
+	// cold holds the actual time until which a replica is cold.
+	coldLasts        = 6 * time.Second
+	coldPerSecond    = 9.3
+	coldMaxPerSecond = 18
+	// storeRoundTrip is the duration of a store call.
+	storeRoundTrip = 8 * time.Millisecond
 )
 
 func coldRoute(kind port.RouteKind) *port.Route {
 	return &port.Route{Name: "r", Kind: kind, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 }
 
-// coldNode is a node that owns a job, with a store, and replicas that count what they get.
+// coldNode is a node that owns a job, with a store and replicas that count their requests.
 type coldNode struct {
 	virtual.Clock
 	*Node
 	store *model.Records
 	sent  map[string][]time.Time
 	// cold holds until when a replica is cold in truth.
-	cold map[string]time.Time
-	most int
-	// cut is set while the store gives no answers.
-	cut bool
+	cold         map[string]time.Time
+	maxPerSecond int
+	// storeDown is set while the store does not respond.
+	storeDown bool
 }
 
 func newColdNode() *coldNode {
@@ -60,18 +60,18 @@
 	return c
 }
 
-// do calls the node and carries its calls to the store out.
+// do calls the node and executes its store calls.
 func (c *coldNode) do(call func(now time.Time)) {
 	call(c.Now)
 	for _, one := range c.Take() {
 		sentAt := c.Now
 		answer := func(done func(now time.Time, result port.RecordResult), make func() port.RecordResult) {
-			c.After(storeTakes/2, func() {
+			c.After(storeRoundTrip/2, func() {
 				result := port.RecordResult{Status: port.RecordUnknown}
-				if !c.cut {
+				if !c.storeDown {
 					result = make()
 				}
-				c.After(storeTakes/2, func() {
+				c.After(storeRoundTrip/2, func() {
 					c.NoteClock(c.Now, sentAt, result.Clock)
 					c.do(func(now time.Time) { done(now, result) })
 				})
@@ -90,17 +90,17 @@
 	}
 }
 
-// watch answers a watch as soon as its table changed.
+// watch answers a watch when its table changes or at the timeout.
 func (c *coldNode) watch(t task.Watch, until time.Time) {
 	result, _ := c.store.Changes(c.Now, t.Table, t.After)
-	if c.cut {
+	if c.storeDown {
 		result = port.RecordResult{Status: port.RecordUnknown}
 	}
 	if result.Status == port.RecordDone && len(result.Records) == 0 && c.Now.Before(until) {
 		c.After(10*time.Millisecond, func() { c.watch(t, until) })
 		return
 	}
-	c.After(storeTakes, func() { c.do(func(now time.Time) { t.Done(now, result) }) })
+	c.After(storeRoundTrip, func() { c.do(func(now time.Time) { t.Done(now, result) }) })
 }
 
 func (c *coldNode) run(length time.Duration) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// put writes a record of the deployment.
+// put writes a deployment record.
 func (c *coldNode) put(table, key string, content any) {
 	value, err := json.Marshal(content)
 	if err != nil {
@@ -118,17 +118,17 @@
 	c.store.Commit(c.Now, port.RecordTransaction{Puts: []port.Record{{RecordKey: port.RecordKey{Table: table, Key: key}, Value: value}}})
 }
 
-// list writes a replica's record, by which it is cold for so long.
+// list writes a replica's record with its remaining cold time.
 func (c *coldNode) list(id string, coldFor time.Duration) {
 	c.put("replicas", id, port.ReplicaRecord{ID: id, Service: "s", Zone: "z", Slots: 8, Versions: map[string]int64{"m": 1}, ColdFor: coldFor})
 }
 
-// own has the node own a job of one item, and read all tables. It is no newcomer among the owners then.
+// own makes the node read all tables and own a job of one item for longer than newOwnerPeriod.
 func (c *coldNode) own() {
 	c.do(c.Tick)
 	c.run(time.Second)
 	c.accept()
-	c.run(2 * newcomerFor)
+	c.run(2 * newOwnerPeriod)
 }
 
 func (c *coldNode) accept() {
@@ -137,7 +137,7 @@
 	})
 }
 
-// coldDecoder reads routes and replicas.
+// coldDecoder decodes routes and replicas.
 type coldDecoder struct{ decoder }
 
 func (coldDecoder) DecodeDeployment(records []port.Record) port.Deployment {
@@ -160,7 +160,7 @@
 	return change
 }
 
-// arrive counts a request at a replica, as its platform does.
+// arrive counts a request at a replica.
 func (c *coldNode) arrive(chosen *endpoint.Endpoint) {
 	id := chosen.ID
 	if !c.Now.Before(c.cold[id]) {
@@ -168,18 +168,18 @@
 		return
 	}
 	c.sent[id] = slices.DeleteFunc(append(c.sent[id], c.Now), func(at time.Time) bool { return c.Now.Sub(at) > time.Second })
-	c.most = max(c.most, len(c.sent[id]))
+	c.maxPerSecond = max(c.maxPerSecond, len(c.sent[id]))
 }
 
-// burst places items, as an owner does at each tick, and returns how long the last and the middle one
-// waited. Each runs for 300 ms. Long ones seek the fastest replicas first.
+// burst places items that run for 300 ms each, as a job owner does on each tick. It returns the waits of the
+// last and the median item. Long items try the fastest replicas first.
 func (c *coldNode) burst(items int, long bool) (last, middle time.Duration) {
 	began := c.Now.Add(25 * time.Millisecond)
 	var waits []time.Duration
 	c.Every(25*time.Millisecond, func() bool {
 		c.do(func(now time.Time) {
 			for len(waits) < items {
-				chosen := c.place(now, batch.Placement{Route: coldRoute(port.RouteBatch), Model: "m", MinVersion: 1, Long: long})
+				chosen := c.placeItem(now, batch.Placement{Route: coldRoute(port.RouteBatch), Model: "m", MinVersion: 1, Long: long})
 				if chosen == nil {
 					return
 				}
@@ -197,26 +197,25 @@
 	return waits[len(waits)-1], waits[len(waits)/2]
 }
 
-// TestAZoneTurnsColdAtFullLoad: two jobs of 224 items, one after the other, meet 16 of 48 replicas cold, or
-// nothing but these. With the gate taken out 10 items within a second reach replicas that are known to be
-// cold, and 28 where there are no others.
-func TestAZoneTurnsColdAtFullLoad(t *testing.T) {
+// TestColdReplicaLimitAtFullLoad checks the request limit of cold replicas for two jobs of 224 items each, if a
+// third of the replicas or all of them are cold.
+func TestColdReplicaLimitAtFullLoad(t *testing.T) {
 	const items = 224
 	for _, c := range []struct {
 		name     string
 		replicas int
-		// told is when the records say so after the replicas turned cold.
-		told time.Duration
+		// recordDelay is how long after the replicas have turned cold their records are updated.
+		recordDelay time.Duration
 		// fresh replicas have new IDs.
 		fresh bool
-		// last bounds the wait of the first job's last item, most what a cold replica may get.
+		// last limits the wait of the first job's last item, most the requests to a cold replica.
 		last time.Duration
 		most int
 	}{
-		{"a zone of three, told before", 48, 0, false, 0, 0},
-		{"a zone of three, told late", 48, 1200 * time.Millisecond, false, 0, coldMost},
-		{"the one zone there is, just started", 16, 0, true, 2 * time.Second, coldMost},
-		{"the one zone there is, told late", 16, 1200 * time.Millisecond, false, 3 * time.Second, coldMost},
+		{"a zone of three, known in advance", 48, 0, false, 0, 0},
+		{"a zone of three, known late", 48, 1200 * time.Millisecond, false, 0, coldMaxPerSecond},
+		{"the only zone, just started", 16, 0, true, 2 * time.Second, coldMaxPerSecond},
+		{"the only zone, known late", 16, 1200 * time.Millisecond, false, 3 * time.Second, coldMaxPerSecond},
 	} {
 		for _, long := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, long items: %t", c.name, long), func(t *testing.T) {
@@ -229,50 +228,50 @@
 				n.own()
 				for i := range 16 {
 					n.cold[fmt.Sprint("r", i)] = n.Now.Add(coldLasts)
-					tell := func() { n.list(fmt.Sprint("r", i), n.cold[fmt.Sprint("r", i)].Sub(n.Now)) }
-					if c.told == 0 {
-						tell()
+					writeRecord := func() { n.list(fmt.Sprint("r", i), n.cold[fmt.Sprint("r", i)].Sub(n.Now)) }
+					if c.recordDelay == 0 {
+						writeRecord()
 					} else {
-						n.After(c.told, tell)
+						n.After(c.recordDelay, writeRecord)
 					}
 				}
-				if c.told == 0 {
+				if c.recordDelay == 0 {
 					n.run(200 * time.Millisecond)
 				}
 				last, middle := n.burst(items, long)
 				n.burst(items, long)
-				if n.most > c.most {
-					t.Errorf("a cold replica got %d requests within a second, %d are allowed", n.most, c.most)
+				if n.maxPerSecond > c.most {
+					t.Errorf("a cold replica got %d requests within a second, want at most %d", n.maxPerSecond, c.most)
 				}
 				if last > c.last {
-					t.Errorf("the last item waited %s, should be %s at the most", last, c.last)
+					t.Errorf("the last item waited %s, want at most %s", last, c.last)
 				}
-				t.Logf("at the most %d requests within a second; the middle item waited %s, the last %s", n.most, middle, last)
+				t.Logf("at most %d requests within a second; median wait %s, last %s", n.maxPerSecond, middle, last)
 			})
 		}
 	}
 }
 
-// TestAGrantIsCheckedAnew: while a claim is under way the replica or the configuration may change; then the
-// request goes to another replica, or to none.
-func TestAGrantIsCheckedAnew(t *testing.T) {
+// TestGrantIsRevalidated checks that a granted claim is not used if the replica or the configuration has
+// changed while it was pending.
+func TestGrantIsRevalidated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(c *coldNode, chosen *endpoint.Endpoint)
-		// other says that the second replica is to be had.
+		// other is set if the second replica may be chosen.
 		other bool
 	}{
-		{"it is ejected", func(c *coldNode, chosen *endpoint.Endpoint) {
+		{"replica ejected", func(c *coldNode, chosen *endpoint.Endpoint) {
 			for range 4 {
 				chosen.Failed(c.Now)
 			}
 		}, true},
-		{"it leaves", func(_ *coldNode, chosen *endpoint.Endpoint) { chosen.Draining = true }, true},
-		{"its record is gone", func(c *coldNode, chosen *endpoint.Endpoint) { c.removeReplica(c.Now, chosen.ID) }, true},
-		{"the route has homes elsewhere", func(c *coldNode, _ *endpoint.Endpoint) {
+		{"replica draining", func(_ *coldNode, chosen *endpoint.Endpoint) { chosen.Draining = true }, true},
+		{"record deleted", func(c *coldNode, chosen *endpoint.Endpoint) { c.removeReplica(c.Now, chosen.ID) }, true},
+		{"route restricted to another region", func(c *coldNode, _ *endpoint.Endpoint) {
 			homed := *coldRoute(port.RouteBatch)
 			homed.AllowedRegions = []string{"south"}
-			c.apply(c.Now, &port.RouteTable{Version: 2, Routes: []port.Route{homed}, Services: c.routes.Services()})
+			c.applyRoutes(c.Now, &port.RouteTable{Version: 2, Routes: []port.Route{homed}, Services: c.routes.Services()})
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -289,67 +288,66 @@
 					got = chosen
 				})
 			})
-			// The store has granted the claim, and the node has not heard of it.
-			n.run(storeTakes / 2)
+			// The store has granted the claim, but the node has not received the response.
+			n.run(storeRoundTrip / 2)
 			rows := n.store.Range(n.Now, port.RecordRange{Table: coldstart.Table, Partition: coldstart.Table}).Records
 			if len(rows) != 1 || done != 0 {
-				t.Fatalf("%d claims, %d answers", len(rows), done)
+				t.Fatalf("%d claims, %d calls of done", len(rows), done)
 			}
 			first = n.endpoints.Find(rows[0].Key)
 			c.change(n, first)
 			n.run(200 * time.Millisecond)
 			if done != 1 || got == first || (got != nil) != c.other {
-				t.Errorf("%d answers, %v is chosen after %v", done, got, first)
+				t.Errorf("%d calls of done, %v chosen after a claim of %v", done, got, first)
 			}
 		})
 	}
 }
 
-// TestAReturnedNodeSendsLittleAtFirst: many nodes may take jobs over when the store comes back, before any has
-// heard of the others.
-func TestAReturnedNodeSendsLittleAtFirst(t *testing.T) {
+// TestReconnectedNodeIsIsolated checks that a node is treated as isolated for some time after an outage,
+// as many nodes may take over jobs before they learn of each other.
+func TestReconnectedNodeIsIsolated(t *testing.T) {
 	n := newColdNode()
 	n.own()
 	n.list("r0", 0)
-	n.run(2 * newcomerFor)
+	n.run(2 * newOwnerPeriod)
 	one := n.endpoints.Find("r0")
 	if got := n.sender(n.Now, one, true).Share; got == 0 {
-		t.Fatal("a node in touch has a part of the bucket")
+		t.Fatal("a connected node has no share of the bucket")
 	}
-	n.cut = true
-	n.run(2 * unconfirmedAfter)
+	n.storeDown = true
+	n.run(2 * maxDiscoveryAge)
 	if got := n.sender(n.Now, one, true).Share; got != 0 {
-		t.Errorf("a node out of touch has a part: 1 of %d", got)
+		t.Errorf("an isolated node has a share: 1 of %d", got)
 	}
-	n.cut = false
-	for back := n.Now; !n.inTouch(n.Now); n.Step() {
+	n.storeDown = false
+	for back := n.Now; !n.viewConfirmed(n.Now); n.Step() {
 		if n.Now.Sub(back) > 5*time.Second {
-			t.Fatal("the node does not come back")
+			t.Fatal("the node's view is not confirmed within 5 s")
 		}
 	}
-	n.run(returnedFor / 2)
+	n.run(reconnectPeriod / 2)
 	if got := n.sender(n.Now, one, true).Share; got != 0 {
-		t.Errorf("a node that has just come back has a part: 1 of %d", got)
+		t.Errorf("a node that has just reconnected has a share: 1 of %d", got)
 	}
-	n.run(2 * newcomerFor)
+	n.run(2 * newOwnerPeriod)
 	if got := n.sender(n.Now, one, true).Share; got == 0 {
-		t.Error("a node that knows the owners again has a part")
+		t.Error("a node that knows the owners again has no share")
 	}
 }
 
-// TestOwnersThatHaveNotHeardOfOneAnother: one node's view of the owners stands still, and another begins to run
-// items in that moment. No second may hold sends of both at the whole bucket of a replica that one node has alone.
-// Seed 700359 of the simulator showed it, on the code of 44a4391.
+// TestOwnersThatHaveNotHeardOfOneAnother checks that a new owner does not use a replica's whole bucket while an
+// owner with a stale view may still do so. Simulator seed 700359.
 func TestOwnersThatHaveNotHeardOfOneAnother(t *testing.T) {
 	whole := func(n *coldNode) bool { return n.sender(n.Now, n.endpoints.Find("r0"), true).Share == 1 }
 	former := newColdNode()
 	former.own()
 	former.list("r0", 0)
-	former.run(2 * newcomerFor)
+	former.run(2 * newOwnerPeriod)
 	if !whole(former) {
-		t.Fatal("the only owner has the whole bucket")
+		t.Fatal("the only owner does not have the whole bucket")
 	}
-	former.cut = true
+	former.storeDown = true
 	cutAt := former.Now
 	for whole(former) && former.Now.Sub(cutAt) < time.Minute {
 		former.Step()
@@ -366,10 +364,10 @@
 		newcomer.Step()
 	}
 	until, from := former.Now.Sub(cutAt), newcomer.Now.Sub(ownsAt)
-	if from < until+boundSpan {
-		t.Errorf("the former owner has the whole bucket for %s, the newcomer from %s on", until, from)
+	if from < until+rateWindow {
+		t.Errorf("the former owner has the whole bucket for %s, the new owner has it after %s", until, from)
 	}
 	if from > 5*time.Second {
-		t.Errorf("the newcomer has the whole bucket from %s on", from)
+		t.Errorf("the new owner has the whole bucket only after %s", from)
 	}
 }
--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -15,9 +15,9 @@
 	"github.com/doorstep/doorstep/internal/version/usage"
 )
 
-// Keys of the records in LeasePartition.
+// Keys of records in LeasePartition.
 const (
-	// UsageClockKey is that of the clock of the reports of use; all others but NodeCountKey are leases.
+	// UsageClockKey is the key of the usage reports' clock. All other records except NodeCountKey are leases.
 	UsageClockKey = "usage-clock"
 
 	orderLeaseKey   = "version-orders"
@@ -25,21 +25,21 @@
 	scalingLeaseKey = "scaling"
 )
 
-// writtenWithin bounds the wait of a stopping node for its counts to be on record.
-const writtenWithin = leaveAfter + 2*time.Second
+// usageFlushTimeout bounds how long a stopping node waits for its usage counts to be stored.
+const usageFlushTimeout = shutdownDelay + 2*time.Second
 
-// Duties are the platform's calls that one node at a time makes. Those that are not set are
-// not made.
+// Duties configures the platform calls that are made by one node at a time. A duty that is not set is
+// not performed.
 type Duties struct {
-	// Usage are the windows in which requests are counted and reported.
+	// Usage configures the windows in which requests are counted and reported.
 	Usage *usage.Windows
-	// Scaling orders replicas.
+	// Scaling enables ordering of replicas.
 	Scaling bool
-	// Fenced says that the platform refuses calls under an older fence than it has seen.
+	// Fenced is set if the platform rejects calls with an older fencing token than the latest it has seen.
 	Fenced bool
 }
 
-// usageDuty counts and reports requests by tenant.
+// usageDuty counts requests by tenant and reports them.
 type usageDuty struct {
 	clock    usage.Clock
 	lease    *recordlease.Lease
@@ -48,12 +48,11 @@
 	reporter *usage.Reporter
 }
 
-// newLease returns a lease of this node.
 func (n *Node) newLease(key string, cadence recordlease.Cadence, fenced bool) *recordlease.Lease {
 	return n.addLease(n.leaseOptions(key, cadence, fenced))
 }
 
-// newOrderLease returns the lease by which versions are ordered: orders without an answer may be carried out late.
+// newOrderLease returns the lease for version orders. Orders without a response may still be executed later.
 func (n *Node) newOrderLease() *recordlease.Lease {
 	options := n.leaseOptions(orderLeaseKey, recordlease.Prompt, false)
 	options.LateFor = rollout.LateFor
@@ -66,7 +65,7 @@
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
 		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Cadence: cadence,
 		Fenced: fenced, StartedAt: n.startedAt,
-		Jitter: n.random.Float64(), Nodes: n.Nodes, Observed: n.observed, Clock: n.clock.bounds,
+		Jitter: n.random.Float64(), Nodes: n.Nodes, Observed: n.sharedObservedUntil, Clock: n.clock.bounds,
 	}
 }
 
@@ -76,8 +75,7 @@
 	return lease
 }
 
-// sortedLeases returns all leases in the order of their keys, so that two runs of the simulator
-// do the same.
+// sortedLeases returns all leases ordered by key, which keeps the simulator deterministic.
 func (n *Node) sortedLeases() []*recordlease.Lease {
 	var list []*recordlease.Lease
 	for _, key := range slices.Sorted(maps.Keys(n.leases)) {
@@ -89,21 +87,21 @@
 func (n *Node) newUsageDuty(windows usage.Windows) *usageDuty {
 	d := &usageDuty{clock: usage.Clock{Windows: windows}, lease: n.newLease(usageLeaseKey, recordlease.Unhurried, n.options.Duties.Fenced)}
 	d.keeper = &usage.ClockKeeper{
-		Queue: n.queue, Lease: d.lease, Clock: &d.clock, StartedAt: n.startedAt, StoreClock: n.clock.reading,
+		Queue: n.queue, Lease: d.lease, Clock: &d.clock, StartedAt: n.startedAt, StoreClock: n.clock.estimate,
 		Key:      port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: UsageClockKey},
 		Nodes:    port.RecordRange{Table: StatusTable, Partition: StatusTable},
 		OffsetOf: wallOffsetOf,
 	}
 	d.counter = usage.NewCounter(usage.CounterOptions{
-		Self: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Clock: &d.clock, StoreClock: n.clock.reading,
+		Self: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Clock: &d.clock, StoreClock: n.clock.estimate,
 	})
 	d.reporter = usage.NewReporter(usage.ReporterOptions{
-		Self: n.options.Name, Queue: n.queue, Lease: d.lease, Clock: &d.clock, StoreClock: n.clock.reading,
+		Self: n.options.Name, Queue: n.queue, Lease: d.lease, Clock: &d.clock, StoreClock: n.clock.estimate,
 	})
 	return d
 }
 
-// wallOffsetOf returns what a node told of its wall clock.
+// wallOffsetOf returns the wall clock offset in a status record, false if it has none.
 func wallOffsetOf(record port.Record) (time.Duration, bool) {
 	status := &doorstepv1.NodeStatus{}
 	if proto.Unmarshal(record.Value, status) != nil || status.WallOffsetMs == 0 {
@@ -112,7 +110,6 @@
 	return time.Duration(status.WallOffsetMs) * time.Millisecond, true
 }
 
-// scalingDuty orders replicas.
 type scalingDuty struct {
 	lease  *recordlease.Lease
 	scaler *scaling.Scaler
@@ -122,12 +119,12 @@
 	d := &scalingDuty{lease: n.newLease(scalingLeaseKey, recordlease.Unhurried, n.options.Duties.Fenced)}
 	d.scaler = scaling.New(scaling.Options{
 		Self: n.options.Name, Queue: n.queue, Lease: d.lease, Services: n.scaledServices,
-		ListedSince: n.listedSince,
+		ListedSince: n.completeSince,
 	})
 	return d
 }
 
-// scaledServices returns the services whose replicas can be ordered.
+// scaledServices returns the services with scaling enabled.
 func (n *Node) scaledServices() []scaling.Service {
 	if n.routes == nil {
 		return nil
@@ -147,7 +144,7 @@
 	return list
 }
 
-// zonesOf returns the zones of a service with the replicas that stay there.
+// zonesOf returns the zones of a service with the number of replicas that are not draining.
 func (n *Node) zonesOf(service port.Service) []scaling.Zone {
 	byName := map[string]*scaling.Zone{}
 	for name := range service.Scaling.Prices {
@@ -166,7 +163,7 @@
 	}
 	var zones []scaling.Zone
 	for _, zone := range byName {
-		// A zone without a replica would be given such as the others have.
+		// A new replica is assumed to have as many slots as the existing ones.
 		zone.Slots = slots
 		zones = append(zones, *zone)
 	}
@@ -174,7 +171,7 @@
 	return zones
 }
 
-// onLeaseRecord takes a record of LeasePartition.
+// onLeaseRecord handles a record of LeasePartition.
 func (n *Node) onLeaseRecord(now time.Time, record port.Record) {
 	if record.Key == NodeCountKey {
 		n.onNodeCount(record)
@@ -205,27 +202,27 @@
 	n.usage.reporter.Tick(now)
 }
 
-// CountRequest notes that a tenant's request began to run at a replica.
+// CountRequest counts a tenant's request that started to run on a replica.
 func (n *Node) CountRequest(now, beganAt time.Time, tenant string) {
 	if n.usage != nil {
 		n.usage.counter.Note(now, beganAt, tenant)
 	}
 }
 
-// counted reports whether nothing that this node counted is lost by its end.
-func (n *Node) counted() bool { return n.usage == nil || n.usage.counter.Unwritten() == 0 }
+// usageFlushed reports whether all usage counts of this node are stored.
+func (n *Node) usageFlushed() bool { return n.usage == nil || n.usage.counter.Unwritten() == 0 }
 
-// Reports reports whether this node reports use to the platform now.
+// Reports reports whether this node currently sends usage reports to the platform.
 func (n *Node) Reports(now time.Time) bool { return n.usage != nil && n.usage.lease.Held(now) }
 
-// UsageFigures tell how far the reports of use have come at this node.
+// UsageFigures are the node's usage reporting statistics.
 type UsageFigures struct {
-	// Unwritten are requests counted and not on record; Reported and Late count the windows
-	// that the platform took from this node.
+	// Unwritten counts requests that are not stored yet; Reported and Late count the windows that the
+	// platform accepted from this node.
 	Unwritten, Reported, Late int
 }
 
-// Usage returns the figures of the reports of use, zero without that duty.
+// Usage returns the usage reporting statistics, zero if the duty is disabled.
 func (n *Node) Usage() UsageFigures {
 	if n.usage == nil {
 		return UsageFigures{}
--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -10,18 +10,18 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// Evacuated returns the zones whose replicas get nothing, in order, as this node last knew them.
+// Evacuated returns the evacuated zones known to this node in sorted order.
 func (n *Node) Evacuated() []string { return slices.Sorted(maps.Keys(n.evacuated)) }
 
-// onEvacuations takes the evacuations that the table of the configuration tells of. A whole
-// reading replaces the set: a record that was deleted while the watch was broken is in no change.
-// A lifting may be all that is heard of an evacuation, and the zone's replicas may have turned cold.
-func (n *Node) onEvacuations(now time.Time, told []port.Evacuation, whole bool) {
+// onEvacuations updates the evacuated zones. A full read replaces the set, since it may follow deletions
+// that the watch missed. The end of an evacuation may be the only notice of it, in which case the zone's
+// replicas may still have turned cold.
+func (n *Node) onEvacuations(now time.Time, updates []port.Evacuation, whole bool) {
 	next, lifted := map[string]bool{}, map[string]bool{}
 	if !whole {
 		maps.Copy(next, n.evacuated)
 	}
-	for _, one := range told {
+	for _, one := range updates {
 		if one.Lifted {
 			delete(next, one.Zone)
 			lifted[one.Zone] = true
@@ -45,7 +45,7 @@
 	n.logEvacuations(event.EvacuationLifted, lifted, next)
 }
 
-// logEvacuations tells of the zones of a set that are not in another.
+// logEvacuations logs an event for each of the zones that is not in except.
 func (n *Node) logEvacuations(number int, zones, except map[string]bool) {
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		if except[zone] {
@@ -62,18 +62,18 @@
 	}
 }
 
-// tellsConfiguration reports whether a table tells of the configuration and of evacuations, by its
-// place among the tables of the deployment.
-func (n *Node) tellsConfiguration(table string) bool {
+// isConfigurationTable reports whether a table holds the configuration and the evacuations, which is the
+// first deployment table.
+func (n *Node) isConfigurationTable(table string) bool {
 	return table == n.options.Decoder.DeploymentTables()[0]
 }
 
-// AllEvacuated reports whether a route has replicas that could serve a tenant's requests, but for the
-// evacuation of their zones, and none that can. Replicas outside the requests' homes can't.
+// AllEvacuated reports whether a route has no usable replicas for a tenant's requests, and would have some
+// without the evacuations. Replicas outside the allowed regions do not count.
 func (n *Node) AllEvacuated(route *port.Route, tenant string) bool {
 	homes, evacuated := n.Homes(route, tenant), false
 	for _, backend := range route.Backends {
-		for _, e := range within(homes, n.endpoints.Service(backend.Service)) {
+		for _, e := range inHomes(homes, n.endpoints.Service(backend.Service)) {
 			switch e.Withheld() {
 			case endpoint.NotWithheld:
 				return false
@@ -86,7 +86,7 @@
 	return evacuated
 }
 
-// WithheldReplicas counts the replicas that get no new work, by the reason.
+// WithheldReplicas counts the replicas that get no new work by reason.
 func (n *Node) WithheldReplicas() map[endpoint.Withheld]int {
 	counts := map[endpoint.Withheld]int{}
 	for _, e := range n.endpoints.All() {
--- a/internal/process/cluster/evacuation_test.go
+++ b/internal/process/cluster/evacuation_test.go
@@ -12,7 +12,7 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// zonedDecoder reads records of evacuations, and of replicas whose keys begin with their zones.
+// zonedDecoder decodes evacuations, and replicas whose keys start with their zones.
 type zonedDecoder struct{ decoder }
 
 func (zonedDecoder) DecodeDeployment(records []port.Record) port.Deployment {
@@ -41,11 +41,11 @@
 
 func newZonedNode() *Node {
 	n := New(start, Options{Name: "n", Topology: port.Topology{Zone: "a"}, Incarnation: 1, Decoder: zonedDecoder{}, OrderPause: time.Second})
-	n.apply(start, evacuationRoutes())
+	n.applyRoutes(start, evacuationRoutes())
 	return n
 }
 
-// records makes records of a table; a key that begins with a minus was deleted.
+// records returns records of a table; the prefix - marks a deleted key.
 func records(table string, keys ...string) []port.Record {
 	var list []port.Record
 	for _, key := range keys {
@@ -55,44 +55,44 @@
 	return list
 }
 
-// told is what one table tells a node.
-type told struct {
+// tableUpdate is an update of one table.
+type tableUpdate struct {
 	table string
 	whole bool
 	keys  []string
 }
 
 func TestEvacuatedZones(t *testing.T) {
-	replicas := told{"replicas", true, []string{"a/1", "b/1"}}
+	replicas := tableUpdate{"replicas", true, []string{"a/1", "b/1"}}
 	for _, c := range []struct {
-		name string
-		told []told
-		// zones are evacuated after that, usable the replicas that get work.
+		name    string
+		updates []tableUpdate
+		// zones are the zones evacuated after the updates, usable the replicas that get work.
 		zones, usable []string
 	}{
-		{"none", []told{replicas}, nil, []string{"a/1", "b/1"}},
-		{"a record comes", []told{replicas, {"operator", false, []string{"a"}}}, []string{"a"}, []string{"b/1"}},
-		{"and goes", []told{replicas, {"operator", false, []string{"a"}}, {"operator", false, []string{"-a"}}}, nil, []string{"a/1", "b/1"}},
-		{"it comes and goes in one change", []told{replicas, {"operator", false, []string{"a", "-a"}}}, nil, []string{"a/1", "b/1"}},
-		{"a change of another record", []told{replicas, {"operator", false, []string{"a"}}, {"operator", false, []string{"routes"}}}, []string{"a"}, []string{"b/1"}},
-		{"a whole reading without it: its deletion was in no change", []told{replicas, {"operator", false, []string{"a"}}, {"operator", true, []string{"routes", "b"}}},
+		{"none", []tableUpdate{replicas}, nil, []string{"a/1", "b/1"}},
+		{"a record is added", []tableUpdate{replicas, {"operator", false, []string{"a"}}}, []string{"a"}, []string{"b/1"}},
+		{"and deleted", []tableUpdate{replicas, {"operator", false, []string{"a"}}, {"operator", false, []string{"-a"}}}, nil, []string{"a/1", "b/1"}},
+		{"added and deleted in one change", []tableUpdate{replicas, {"operator", false, []string{"a", "-a"}}}, nil, []string{"a/1", "b/1"}},
+		{"a change of another record", []tableUpdate{replicas, {"operator", false, []string{"a"}}, {"operator", false, []string{"routes"}}}, []string{"a"}, []string{"b/1"}},
+		{"a full read without it after a missed deletion", []tableUpdate{replicas, {"operator", false, []string{"a"}}, {"operator", true, []string{"routes", "b"}}},
 			[]string{"b"}, []string{"a/1"}},
-		{"a whole reading of the replicas", []told{replicas, {"operator", false, []string{"a"}}, replicas}, []string{"a"}, []string{"b/1"}},
-		{"replicas are read after it", []told{{"operator", true, []string{"a"}}, replicas}, []string{"a"}, []string{"b/1"}},
-		{"a replica is added", []told{replicas, {"operator", true, []string{"a"}}, {"replicas", false, []string{"a/2", "b/2"}}}, []string{"a"}, []string{"b/1", "b/2"}},
-		{"a replica that was added, then lifted", []told{replicas, {"operator", true, []string{"a"}}, {"replicas", false, []string{"a/2"}}, {"operator", true, nil}},
+		{"a full read of the replicas", []tableUpdate{replicas, {"operator", false, []string{"a"}}, replicas}, []string{"a"}, []string{"b/1"}},
+		{"replicas read after it", []tableUpdate{{"operator", true, []string{"a"}}, replicas}, []string{"a"}, []string{"b/1"}},
+		{"a replica is added", []tableUpdate{replicas, {"operator", true, []string{"a"}}, {"replicas", false, []string{"a/2", "b/2"}}}, []string{"a"}, []string{"b/1", "b/2"}},
+		{"a replica added before the end of the evacuation", []tableUpdate{replicas, {"operator", true, []string{"a"}}, {"replicas", false, []string{"a/2"}}, {"operator", true, nil}},
 			nil, []string{"a/1", "a/2", "b/1"}},
-		{"a record went and came again", []told{replicas, {"operator", true, []string{"a"}}, {"replicas", false, []string{"-a/1"}}, {"replicas", false, []string{"a/1"}}},
+		{"a replica's record deleted and added again", []tableUpdate{replicas, {"operator", true, []string{"a"}}, {"replicas", false, []string{"-a/1"}}, {"replicas", false, []string{"a/1"}}},
 			[]string{"a"}, []string{"b/1"}},
-		{"all", []told{replicas, {"operator", true, []string{"a", "b"}}}, []string{"a", "b"}, nil},
+		{"all", []tableUpdate{replicas, {"operator", true, []string{"a", "b"}}}, []string{"a", "b"}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newZonedNode()
-			for _, one := range c.told {
+			for _, one := range c.updates {
 				n.onDeployment(start, one.table, records(one.table, one.keys...), one.whole)
 			}
 			if got := n.Evacuated(); !slices.Equal(got, c.zones) {
-				t.Errorf("evacuated: %v, should be %v", got, c.zones)
+				t.Errorf("evacuated zones %v, want %v", got, c.zones)
 			}
 			var usable []string
 			exclude := map[string]bool{}
@@ -102,17 +102,17 @@
 			}
 			slices.Sort(usable)
 			if !slices.Equal(usable, c.usable) {
-				t.Errorf("requests go to %v, should to %v", usable, c.usable)
+				t.Errorf("requests go to %v, want %v", usable, c.usable)
 			}
 			if got := n.AllEvacuated(&evacuationRoute, ""); got != (len(c.usable) == 0) {
-				t.Errorf("all are evacuated: %t", got)
+				t.Errorf("AllEvacuated returns %t", got)
 			}
 		})
 	}
 }
 
-// TestLapsedReplicaOfAnEvacuatedZone: a replica that is kept though its record ran out is withheld
-// all the same, and gets work once the evacuation is lifted.
+// TestLapsedReplicaOfAnEvacuatedZone checks that a replica kept after its record has expired is withheld during
+// an evacuation, and usable after it.
 func TestLapsedReplicaOfAnEvacuatedZone(t *testing.T) {
 	n := newZonedNode()
 	n.onDeployment(start, "replicas", records("replicas", "a/1"), true)
@@ -127,12 +127,12 @@
 	n.onDeployment(lifted, "operator", nil, true)
 	one := n.Choose(lifted, &evacuationRoute, "", "", nil)
 	if one == nil || !one.EvacuatedUntil.Equal(lifted) {
-		t.Errorf("after the lifting: %+v", one)
+		t.Errorf("replica after the evacuation: %+v", one)
 	}
 }
 
-// TestAllEvacuatedIsTrue: it is said only where evacuations alone keep replicas from work.
-func TestAllEvacuatedIsTrue(t *testing.T) {
+// TestAllEvacuated checks that AllEvacuated is true only if evacuations alone make the replicas unusable.
+func TestAllEvacuated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(n *Node)
@@ -141,11 +141,11 @@
 		{"no replica", func(n *Node) {}, false},
 		{"evacuated", func(n *Node) { n.onDeployment(start, "replicas", records("replicas", "a/1"), true) }, true},
 		{"evacuated, and one elsewhere", func(n *Node) { n.onDeployment(start, "replicas", records("replicas", "a/1", "b/1"), true) }, false},
-		{"evacuated, and one elsewhere that leaves", func(n *Node) {
+		{"evacuated, and a draining one elsewhere", func(n *Node) {
 			n.onDeployment(start, "replicas", records("replicas", "a/1", "b/1"), true)
 			n.endpoints.Find("b/1").Draining = true
 		}, true},
-		{"one that leaves", func(n *Node) {
+		{"a draining one", func(n *Node) {
 			n.onDeployment(start, "replicas", records("replicas", "b/1"), true)
 			n.endpoints.Find("b/1").Draining = true
 		}, false},
@@ -154,12 +154,12 @@
 		n.onDeployment(start, "operator", records("operator", "a"), true)
 		c.change(n)
 		if got := n.AllEvacuated(&evacuationRoute, ""); got != c.want {
-			t.Errorf("%s: %t, should be %t", c.name, got, c.want)
+			t.Errorf("%s: %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// TestEvacuationsAreLogged: once each, with what is in flight there.
+// TestEvacuationsAreLogged checks that each change is logged once, with the requests in flight.
 func TestEvacuationsAreLogged(t *testing.T) {
 	n := newZonedNode()
 	n.onDeployment(start, "replicas", records("replicas", "a/1", "a/2", "b/1"), true)
@@ -183,20 +183,20 @@
 	}
 }
 
-// TestNoRequestBeforeTheSetIsRead: the routes come with the evacuations, in one reading.
-func TestNoRequestBeforeTheSetIsRead(t *testing.T) {
+// TestRoutesActivateWithEvacuations checks that the routes become active together with the evacuations.
+func TestRoutesActivateWithEvacuations(t *testing.T) {
 	n := New(start, Options{Name: "n", Topology: port.Topology{Zone: "a"}, Incarnation: 1, Decoder: zonedDecoder{}, OrderPause: time.Second})
 	n.onDeployment(start, "replicas", records("replicas", "a/1"), true)
 	if n.Route("", "") != nil || n.Ready(start) {
-		t.Error("the node routes before it has read the table of the configuration")
+		t.Error("the node routes requests before reading the configuration table")
 	}
 	n.onDeployment(start, "operator", records("operator", "routes", "a"), true)
 	if n.Choose(start, &evacuationRoute, "", "", nil) != nil {
-		t.Error("a replica that was listed before the set was read gets a request")
+		t.Error("a replica of an evacuated zone gets a request")
 	}
 }
 
-// TestZonesOfEvacuated: the scaling duty is told which zones are out of use.
+// TestZonesOfEvacuated checks that the scaling duty receives the evacuated zones.
 func TestZonesOfEvacuated(t *testing.T) {
 	n := newZonedNode()
 	n.onDeployment(start, "replicas", records("replicas", "a/1", "b/1"), true)
@@ -208,30 +208,30 @@
 	}
 }
 
-// TestALiftingToldAloneIsOne: a node that was suspended, or hears of several changes at once, may hear of an
-// evacuation by its end only. The zone's replicas may have turned cold all the same.
-func TestALiftingToldAloneIsOne(t *testing.T) {
+// TestEvacuationEndWithoutStart checks the end of an evacuation whose start this node has not seen. The zone's
+// replicas may have turned cold during it.
+func TestEvacuationEndWithoutStart(t *testing.T) {
 	for name, keys := range map[string][]string{"the end alone": {"-a"}, "both at once": {"a", "-a"}} {
 		n := newZonedNode()
 		n.onDeployment(start, "replicas", records("replicas", "a/1", "b/1"), true)
 		n.onDeployment(start, "operator", records("operator", keys...), false)
 		if !n.endpoints.Find("a/1").Cold(start, time.Second) || n.endpoints.Find("b/1").Cold(start, time.Second) {
-			t.Errorf("%s: the replica of the zone alone is presumed to be cold", name)
+			t.Errorf("%s: only the replica of the formerly evacuated zone should be cold", name)
 		}
 	}
 	n := newZonedNode()
 	n.onDeployment(start, "replicas", records("replicas", "a/1"), true)
 	n.onDeployment(start, "operator", records("operator", "-a", "a"), false)
 	if n.endpoints.Find("a/1").Withheld() != endpoint.WithheldEvacuated {
-		t.Error("a zone that is evacuated anew is evacuated")
+		t.Error("the zone is not evacuated after a second evacuation")
 	}
 }
 
-// TestAllEvacuatedGoesByHomes: replicas in regions in which a request may not be served don't count.
-func TestAllEvacuatedGoesByHomes(t *testing.T) {
+// TestAllEvacuatedRespectsHomes checks that replicas outside the allowed regions do not count.
+func TestAllEvacuatedRespectsHomes(t *testing.T) {
 	n, route := homesNode()
 	n.onEvacuations(start, []port.Evacuation{{Zone: "b"}}, false)
 	if !n.AllEvacuated(route, "red") || n.AllEvacuated(route, "blue") {
-		t.Error("all replicas that could serve red are evacuated, not so those for blue")
+		t.Error("want true for tenant red and false for blue")
 	}
 }
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -9,8 +9,7 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// Homes returns the regions in which requests of a route and a tenant may be served and kept, by the
-// configuration in force.
+// Homes returns the regions in which requests of a route and a tenant may be served and stored.
 func (n *Node) Homes(route *port.Route, tenant string) port.Homes {
 	if n.routes == nil {
 		return port.Homes{}
@@ -18,13 +17,12 @@
 	return n.routes.Homes(route, tenant)
 }
 
-// Served reports whether a replica of a route's services is listed in the homes of a request. Without
-// one the request can't be served until the configuration or the fleet changes; a replica that is
-// busy, leaves or failed lately may serve it soon. Without a route, or while not all replicas are known, there is
-// nothing to say.
+// Served reports whether an allowed region has a replica for a request. If not, the request cannot be served
+// until the configuration or the fleet changes, whereas a busy, draining or failing replica may recover soon.
+// It is true without a route or while not all replicas are known.
 func (n *Node) Served(route *port.Route, tenant string) bool {
 	homes := n.Homes(route, tenant)
-	if !homes.Bound || route == nil || !n.listsAll() {
+	if !homes.Bound || route == nil || !n.knowsAllReplicas() {
 		return true
 	}
 	for _, backend := range route.Backends {
@@ -35,7 +33,7 @@
 	return false
 }
 
-// jobHomes tells the batch jobs where they may be kept and run.
+// jobHomes returns the region constraints of batch jobs.
 func (n *Node) jobHomes() batch.Homes {
 	return batch.Homes{
 		Of: n.Homes, Served: n.Served, Known: func() bool { return n.routes != nil },
@@ -48,26 +46,26 @@
 	}
 }
 
-// within returns the endpoints that lie in homes.
-func within(homes port.Homes, list []*endpoint.Endpoint) []*endpoint.Endpoint {
+// inHomes returns the endpoints that lie in allowed regions.
+func inHomes(homes port.Homes, list []*endpoint.Endpoint) []*endpoint.Endpoint {
 	if !homes.Bound {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(e *endpoint.Endpoint) bool { return !homes.Allow(e.Region) })
 }
 
-// NoteConnection takes how long it took to open a connection to a replica's address.
+// NoteConnection records how long it took to connect to a replica's address.
 func (n *Node) NoteConnection(address string, took time.Duration) {
 	if one := n.endpoints.At(address); one != nil {
 		n.distances.Note(one.Zone, took)
 	}
 }
 
-// Elsewhere reports whether a replica lies in another region than this node.
+// Elsewhere reports whether a replica is in a different region than this node.
 func (n *Node) Elsewhere(replica string) bool {
 	one := n.endpoints.Find(replica)
 	return one != nil && n.distances.Several() && one.Region != n.options.Topology.Region
 }
 
-// Away returns how much longer the way to a zone and back is than within the own region.
+// Away returns how much longer a round trip to a zone takes than one within the node's region.
 func (n *Node) Away(zone string) time.Duration { return n.distances.Away(zone) }
--- a/internal/process/cluster/homes_test.go
+++ b/internal/process/cluster/homes_test.go
@@ -9,14 +9,14 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// homesNode is a node in the north that knows a replica in each of two regions, one whose zone it does
-// not know, and a tenant that must stay in the south.
+// homesNode returns a node in region north that knows one replica in each of two regions and one in an unknown
+// zone. Tenant red is restricted to south.
 func homesNode(routeHomes ...string) (*Node, *port.Route) {
 	n := New(start, Options{
 		Name: "n", Incarnation: 1, Decoder: decoder{}, OrderPause: time.Second,
 		Topology: port.Topology{Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "south"}},
 	})
-	n.apply(start, &port.RouteTable{
+	n.applyRoutes(start, &port.RouteTable{
 		Version:  1,
 		Routes:   []port.Route{{Name: "r", Host: "h", PathPrefix: "/", Backends: []port.Backend{{Service: "s", Weight: 1}}, AllowedRegions: routeHomes}},
 		Services: []port.Service{{Name: "s"}}, Tenants: []port.Tenant{{Name: "red", AllowedRegions: []string{"south"}}, {Name: "blue"}},
@@ -27,8 +27,8 @@
 	return n, n.Route("h", "/x")
 }
 
-// TestEveryChoiceKeepsHomes: requests, items, moves of long ones and scoring calls.
-func TestEveryChoiceKeepsHomes(t *testing.T) {
+// TestPlacementRespectsHomes checks that requests, items and scoring calls stay in allowed regions.
+func TestPlacementRespectsHomes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		route  []string
@@ -46,10 +46,10 @@
 		for path, choose := range map[string]func() *endpoint.Endpoint{
 			"request": func() *endpoint.Endpoint { return n.Choose(start, route, c.tenant, "m", nil) },
 			"item": func() *endpoint.Endpoint {
-				return n.place(start, batch.Placement{Route: route, Tenant: c.tenant, Model: "m"})
+				return n.placeItem(start, batch.Placement{Route: route, Tenant: c.tenant, Model: "m"})
 			},
 			"long item": func() *endpoint.Endpoint {
-				return n.place(start, batch.Placement{Route: route, Tenant: c.tenant, Model: "m", Long: true})
+				return n.placeItem(start, batch.Placement{Route: route, Tenant: c.tenant, Model: "m", Long: true})
 			},
 			"scoring call": func() *endpoint.Endpoint { return n.placeScoring(start, route, c.tenant, nil) },
 		} {
@@ -59,50 +59,50 @@
 					got = chosen.ID
 				}
 				if got != c.want {
-					t.Errorf("%s, %s: %q, should be %q", c.name, path, got, c.want)
+					t.Errorf("%s, %s: %q, want %q", c.name, path, got, c.want)
 				}
 			}
 		}
 		if got := n.Served(route, c.tenant); got != (c.want != "") {
-			t.Errorf("%s: served %t", c.name, got)
+			t.Errorf("%s: Served returns %t", c.name, got)
 		}
 	}
 }
 
-// TestConnectionsTellTheDistance: the node learns by its connections how far the south is.
-func TestConnectionsTellTheDistance(t *testing.T) {
+// TestLatencyLearnedFromConnections checks that the latency to a zone is learned from connection times.
+func TestLatencyLearnedFromConnections(t *testing.T) {
 	n, _ := homesNode()
 	n.NoteConnection("northern", time.Millisecond)
 	n.NoteConnection("southern", 41*time.Millisecond)
 	n.NoteConnection("gone", time.Second)
 	if got := n.Away("b"); got != 40*time.Millisecond {
-		t.Errorf("the south is %s away", got)
+		t.Errorf("latency to zone b is %s, want 40ms", got)
 	}
 	if n.Elsewhere("northern") || !n.Elsewhere("southern") || n.Elsewhere("gone") {
-		t.Error("the southern replica lies elsewhere, the northern does not")
+		t.Error("only the southern replica is in another region")
 	}
 }
 
-// TestHomesAreKnownWithTheConfiguration: before that a node can't tell where jobs may be.
-func TestHomesAreKnownWithTheConfiguration(t *testing.T) {
+// TestHomesUnknownWithoutConfiguration checks that allowed regions are unknown before the first configuration.
+func TestHomesUnknownWithoutConfiguration(t *testing.T) {
 	n := New(start, Options{Name: "n", Incarnation: 1, Decoder: decoder{}, OrderPause: time.Second})
 	if n.jobHomes().Known() {
-		t.Error("known without a configuration")
+		t.Error("regions known without a configuration")
 	}
 	if n, _ := homesNode(); !n.jobHomes().Known() {
-		t.Error("not known with one")
+		t.Error("regions unknown with a configuration")
 	}
 }
 
-// TestEvacuatedHomes: where the replicas in the homes are evacuated, those elsewhere are no reason to
-// hold the request.
+// TestEvacuatedHomes checks that replicas outside the allowed regions do not hold a request whose allowed
+// replicas are all evacuated.
 func TestEvacuatedHomes(t *testing.T) {
 	n, route := homesNode()
 	n.endpoints.Find("southern").SetEvacuated(start, true)
 	if !n.AllEvacuated(route, "red") {
-		t.Error("a tenant whose homes are evacuated is held")
+		t.Error("AllEvacuated is false for a tenant whose regions are evacuated")
 	}
 	if n.AllEvacuated(route, "blue") {
-		t.Error("a tenant without homes is refused")
+		t.Error("AllEvacuated is true for an unrestricted tenant")
 	}
 }
--- a/internal/process/cluster/lapse.go
+++ b/internal/process/cluster/lapse.go
@@ -8,83 +8,82 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// lapseGrace is how long after the store's return a replica is kept whose record is missing.
-// Records run out while replicas can't renew them; those that live and reach the store are
-// back within two seconds. It is less than the bound on leaving replicas.
-const lapseGrace = 2 * time.Second
+// lapseGracePeriod is how long a replica with a missing record is kept after the store has recovered. Records
+// expire while replicas cannot renew them and are renewed soon after the recovery. It is shorter than the
+// time within which draining replicas must be noticed.
+const lapseGracePeriod = 2 * time.Second
 
-// lapses keeps the replicas whose records ran out while the store was away.
+// lapses tracks replicas whose records expired while the store was unavailable.
 type lapses struct {
-	// away is set while the list of replicas can't be watched, backAt is when it could be
-	// again.
-	away   bool
-	backAt time.Time
-	// listedSince is since when the list is watched without a break, zero while it is not.
-	listedSince time.Time
-	kept        map[string]bool
+	// storeDown is set while the watch of the list of replicas fails; recoveredAt is when it last recovered.
+	storeDown   bool
+	recoveredAt time.Time
+	// healthySince is since when the list is watched without interruption, zero while it is not.
+	healthySince time.Time
+	kept         map[string]bool
 }
 
-// open reports whether a missing record may have run out for the store's sake.
-func (l *lapses) open(now time.Time) bool {
-	return l.away || !l.backAt.IsZero() && now.Sub(l.backAt) < lapseGrace
+// retaining reports whether a record may be missing because of an outage of the store.
+func (l *lapses) retaining(now time.Time) bool {
+	return l.storeDown || !l.recoveredAt.IsZero() && now.Sub(l.recoveredAt) < lapseGracePeriod
 }
 
-// onReplicaHealth notes that the watch of the list of replicas broke or is whole again.
+// onReplicaHealth handles a failure or recovery of the watch of the list of replicas.
 func (n *Node) onReplicaHealth(now time.Time, healthy bool) {
-	if healthy && n.lapses.away {
-		n.lapses.backAt = now
+	if healthy && n.lapses.storeDown {
+		n.lapses.recoveredAt = now
 	}
-	n.lapses.away = !healthy
-	n.lapses.listedSince = time.Time{}
+	n.lapses.storeDown = !healthy
+	n.lapses.healthySince = time.Time{}
 	if healthy {
-		n.lapses.listedSince = now
+		n.lapses.healthySince = now
 	}
 }
 
-// removeReplica drops a replica whose record is gone, unless it may have run out while the
-// store was away: then it is kept for a while.
+// removeReplica removes a replica whose record is missing, unless the record may have expired because of an
+// outage of the store. In that case the replica is kept for the grace period.
 func (n *Node) removeReplica(now time.Time, id string) {
-	if n.lapses.open(now) && n.endpoints.Find(id) != nil {
+	if n.lapses.retaining(now) && n.endpoints.Find(id) != nil {
 		if !n.lapses.kept[id] {
 			n.lapses.kept[id] = true
 			n.queue.Log(event.ReplicaLapsed, "replica", id)
 		}
 		return
 	}
-	n.noteReplica(now, n.endpoints.Remove(id))
+	n.onReplicaChange(now, n.endpoints.Remove(id))
 }
 
-// removeGone drops a replica whose record was deleted, or can't be used any more: that is nothing that the
-// store's absence would explain.
-func (n *Node) removeGone(now time.Time, gone port.GoneReplica, unusable bool) {
+// onReplicaGone handles a record that was deleted or became unusable. An unusable record is not caused by an
+// outage of the store, so its replica is removed at once.
+func (n *Node) onReplicaGone(now time.Time, gone port.GoneReplica, unusable bool) {
 	switch {
 	case n.endpoints.Outlives(gone):
 	case unusable:
 		delete(n.lapses.kept, gone.ID)
-		n.noteReplica(now, n.endpoints.Remove(gone.ID))
+		n.onReplicaChange(now, n.endpoints.Remove(gone.ID))
 	default:
 		n.removeReplica(now, gone.ID)
 	}
 }
 
-// putReplica notes that a replica's record stands again.
+// putReplica handles an added or updated replica.
 func (n *Node) putReplica(now time.Time, put endpoint.Change) {
 	delete(n.lapses.kept, put.Endpoint.ID)
-	put.Endpoint.Held = n.holds(put.Endpoint)
+	put.Endpoint.Held = n.drainedByOperator(put.Endpoint)
 	put.Endpoint.SetEvacuated(now, n.evacuated[put.Endpoint.Zone])
 	put.Endpoint.Region = n.options.Topology.RegionOf(put.Endpoint.Zone)
-	n.noteReplica(now, put)
-	n.noteCold(now, put)
+	n.onReplicaChange(now, put)
+	n.learnCold(now, put)
 }
 
-// tickLapses drops the replicas whose records did not come back.
+// tickLapses removes the kept replicas whose records did not reappear within the grace period.
 func (n *Node) tickLapses(now time.Time) {
-	if len(n.lapses.kept) == 0 || n.lapses.open(now) {
+	if len(n.lapses.kept) == 0 || n.lapses.retaining(now) {
 		return
 	}
 	for _, e := range n.endpoints.All() {
 		if n.lapses.kept[e.ID] {
-			n.noteReplica(now, n.endpoints.Remove(e.ID))
+			n.onReplicaChange(now, n.endpoints.Remove(e.ID))
 		}
 	}
 	clear(n.lapses.kept)
--- a/internal/process/cluster/lapse_test.go
+++ b/internal/process/cluster/lapse_test.go
@@ -7,51 +7,51 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// TestLapsedReplicas: what went while the store was away is kept until it is surely gone.
+// TestLapsedReplicas checks that replicas removed during an outage of the store are kept for the grace period.
 func TestLapsedReplicas(t *testing.T) {
 	const later = time.Second
 	for _, c := range []struct {
 		name string
-		// away and back are told before the record goes.
-		away, back bool
-		// goes is when the record goes after that, listed whether it comes back by itself.
-		goes   time.Duration
-		listed bool
-		// at is when the replica is looked for, and kept whether it should be there.
+		// outage and recovered report the store's health before the record is removed.
+		outage, recovered bool
+		// removedAfter is when the record is removed, listed whether it is added again.
+		removedAfter time.Duration
+		listed       bool
+		// at is when the result is checked, kept whether the replica should still be known.
 		at   time.Duration
 		kept bool
 	}{
-		{"the store was there all the while", false, false, 0, false, 0, false},
-		{"the store is away", true, false, 0, false, 5 * time.Second, true},
-		{"just back", true, true, 0, false, lapseGrace - time.Millisecond, true},
-		{"missing for long after the return", true, true, 0, false, lapseGrace + time.Millisecond, false},
-		{"back in time", true, true, 0, true, lapseGrace + time.Millisecond, true},
-		{"gone later", true, true, lapseGrace + later, false, lapseGrace + later, false},
+		{"no outage", false, false, 0, false, 0, false},
+		{"during an outage", true, false, 0, false, 5 * time.Second, true},
+		{"within the grace period", true, true, 0, false, lapseGracePeriod - time.Millisecond, true},
+		{"missing after the grace period", true, true, 0, false, lapseGracePeriod + time.Millisecond, false},
+		{"added again in time", true, true, 0, true, lapseGracePeriod + time.Millisecond, true},
+		{"removed after the grace period", true, true, lapseGracePeriod + later, false, lapseGracePeriod + later, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newNode()
 			record := port.ReplicaRecord{ID: "r", Service: "s"}
 			n.putReplica(start, n.endpoints.Put(record))
 			n.onReplicaHealth(start, true)
-			if c.away {
+			if c.outage {
 				n.onReplicaHealth(start, false)
 			}
-			if c.back {
+			if c.recovered {
 				n.onReplicaHealth(start, true)
 			}
-			n.removeReplica(start.Add(c.goes), "r")
+			n.removeReplica(start.Add(c.removedAfter), "r")
 			if c.listed {
 				n.putReplica(start, n.endpoints.Put(record))
 			}
 			n.tickLapses(start.Add(c.at))
 			if kept := n.endpoints.Find("r") != nil; kept != c.kept {
-				t.Errorf("kept %t, should be %t", kept, c.kept)
+				t.Errorf("kept %t, want %t", kept, c.kept)
 			}
 		})
 	}
 }
 
-// replicaDecoder reads a record of the list of replicas by its key alone.
+// replicaDecoder decodes replicas from their keys alone.
 type replicaDecoder struct{ decoder }
 
 func (replicaDecoder) DecodeDeployment(records []port.Record) port.Deployment {
@@ -66,7 +66,7 @@
 	return change
 }
 
-// TestListedReplicas: a whole reading drops what it does not list, a change what it names.
+// TestListedReplicas checks that a full read removes unlisted replicas and a change removes deleted ones.
 func TestListedReplicas(t *testing.T) {
 	n := New(start, Options{Name: "n", Topology: port.Topology{Zone: "z"}, Incarnation: 1, Decoder: replicaDecoder{}, OrderPause: time.Second})
 	record := func(key string, deleted bool) port.Record {
@@ -76,6 +76,6 @@
 	n.onDeployment(start, "replicas", []port.Record{record("a", false), record("b", false)}, true)
 	n.onDeployment(start, "replicas", []port.Record{record("b", true)}, false)
 	if left := n.endpoints.All(); len(left) != 1 || left[0].ID != "a" {
-		t.Errorf("%d replicas are left", len(left))
+		t.Errorf("%d replicas left, want only a", len(left))
 	}
 }
--- a/internal/process/cluster/latency.go
+++ b/internal/process/cluster/latency.go
@@ -7,54 +7,51 @@
 )
 
 const (
-	// latencyDecay is the part of the longest call that is left with each call after it.
+	// latencyDecay is the factor by which the maximum latency decays with each call.
 	latencyDecay = 0.8
-	// tellDistanceFrom is the latency from which the store's distance is told: a region 20 ms away
-	// stays below, so that a calm deployment tells none.
-	tellDistanceFrom = 50 * time.Millisecond
-	// tellDistanceEvery is the least time between two lines of it.
-	tellDistanceEvery = 2 * time.Second
+	// minLoggedLatency is the latency below which changes are not logged.
+	minLoggedLatency = 50 * time.Millisecond
+	// latencyLogInterval is the minimum time between two log lines.
+	latencyLogInterval = 2 * time.Second
 )
 
-// callLatency follows how long calls to the store take: the longest counts, and is
-// forgotten with the calls after it.
+// callLatency tracks a decaying maximum of store call latencies.
 type callLatency struct {
 	longest time.Duration
-	// told is what the log last said, toldAt when.
-	told   time.Duration
-	toldAt time.Time
+	// logged is the last logged latency, loggedAt the time of that log line.
+	logged   time.Duration
+	loggedAt time.Time
 }
 
-func (l *callLatency) note(took time.Duration) {
+func (l *callLatency) observe(took time.Duration) {
 	l.longest = max(took, time.Duration(latencyDecay*float64(l.longest)))
 }
 
-// news reports whether the log is to say how far the store is: the latency has doubled or halved
-// since it last did. What is below tellDistanceFrom counts as that.
-func (l *callLatency) news(now time.Time) bool {
-	latency, told := max(l.longest, tellDistanceFrom), max(l.told, tellDistanceFrom)
-	if latency < 2*told && told < 2*latency || now.Sub(l.toldAt) < tellDistanceEvery {
+// shouldLog reports whether the latency has doubled or halved since it was last logged. Latencies below
+// minLoggedLatency count as minLoggedLatency.
+func (l *callLatency) shouldLog(now time.Time) bool {
+	latency, logged := max(l.longest, minLoggedLatency), max(l.logged, minLoggedLatency)
+	if latency < 2*logged && logged < 2*latency || now.Sub(l.loggedAt) < latencyLogInterval {
 		return false
 	}
-	l.told, l.toldAt = latency, now
+	l.logged, l.loggedAt = latency, now
 	return true
 }
 
-// Latency returns how long calls to the store take of late: the longest of the last few.
+// Latency returns the recent maximum latency of store calls.
 func (n *Node) Latency() time.Duration { return n.latency.longest }
 
-// storeDistance returns what tells how long calls to the store take of late, nil in a deployment of one
-// region.
-func (n *Node) storeDistance() func() time.Duration {
+// storeLatency returns a function that reports the store's latency, nil in a single-region deployment.
+func (n *Node) storeLatency() func() time.Duration {
 	if !n.options.Topology.Several() {
 		return nil
 	}
 	return n.Latency
 }
 
-// tickLatency tells of the store's distance when it has changed much.
+// tickLatency logs significant changes of the store's latency.
 func (n *Node) tickLatency(now time.Time) {
-	if n.latency.news(now) {
+	if n.latency.shouldLog(now) {
 		n.queue.Log(event.StoreDistance, "latency_ms", n.latency.longest.Milliseconds(), "zone", n.options.Topology.Zone, "region", n.options.Topology.Region)
 	}
 }
--- a/internal/process/cluster/latency_test.go
+++ b/internal/process/cluster/latency_test.go
@@ -7,42 +7,41 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// TestLatencyIsTold: the log tells of the store's distance when that changes much, not of a near
-// store, and seldom.
-func TestLatencyIsTold(t *testing.T) {
+// TestLatencyIsLogged checks that significant latency changes of a distant store are logged, at a limited rate.
+func TestLatencyIsLogged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := callLatency{}
 	for i, c := range []struct {
-		took time.Duration
-		told bool
+		took   time.Duration
+		logged bool
 	}{
 		{4 * time.Millisecond, false}, {45 * time.Millisecond, false}, {120 * time.Millisecond, true}, {130 * time.Millisecond, false},
 		{600 * time.Millisecond, true}, {400 * time.Millisecond, false}, {4 * time.Millisecond, false},
 	} {
-		now = now.Add(tellDistanceEvery)
-		l.note(c.took)
-		if got := l.news(now); got != c.told {
-			t.Errorf("call %d of %s: told %t", i, c.took, got)
+		now = now.Add(latencyLogInterval)
+		l.observe(c.took)
+		if got := l.shouldLog(now); got != c.logged {
+			t.Errorf("call %d of %s: logged %t", i, c.took, got)
 		}
 	}
-	l.note(2 * time.Second)
-	first := l.news(now)
-	l.note(20 * time.Second)
-	if !first || l.news(now) {
-		t.Error("a jump is told, and two within a moment once")
+	l.observe(2 * time.Second)
+	first := l.shouldLog(now)
+	l.observe(20 * time.Second)
+	if !first || l.shouldLog(now) {
+		t.Error("want one log line for two jumps within the log interval")
 	}
 }
 
-// TestOneRegionHasNoDistance: a region that has a name is still one region.
-func TestOneRegionHasNoDistance(t *testing.T) {
+// TestSingleRegionHasNoStoreLatency checks that a single named region counts as a single-region deployment.
+func TestSingleRegionHasNoStoreLatency(t *testing.T) {
 	one := port.Topology{Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "north"}}
 	for _, c := range []struct {
-		topology port.Topology
-		told     bool
+		topology  port.Topology
+		available bool
 	}{{port.Topology{Zone: "a"}, false}, {one, false}, {port.Topology{Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "south"}}, true}} {
 		n := New(start, Options{Name: "n", Incarnation: 1, Decoder: decoder{}, OrderPause: time.Second, Topology: c.topology})
-		if told := n.storeDistance() != nil; told != c.told {
-			t.Errorf("%+v: distance told %t", c.topology, told)
+		if available := n.storeLatency() != nil; available != c.available {
+			t.Errorf("%+v: latency available %t", c.topology, available)
 		}
 	}
 }
--- a/internal/process/cluster/census.go
+++ b/internal/process/cluster/nodecount.go
@@ -13,21 +13,20 @@
 )
 
 const (
-	// NodeCountKey is the record in LeasePartition that tells how many nodes there are, as a decimal
-	// number: those that would take something over spread over a time that grows with it.
+	// NodeCountKey is the key of the record in LeasePartition that holds the number of nodes as a decimal
+	// number. Nodes that compete for a takeover spread over a time proportional to it.
 	NodeCountKey = "node-count"
-	// censusEvery paces the counting by the holder of the order lease, which reads the status of all
-	// nodes: 2 reads at 986 nodes.
-	censusEvery = 20 * time.Second
-	// statusLife is how long a node counts after it last told of itself: it does so each statusEvery.
-	statusLife = 3 * statusEvery
-	// censusNews is by what part the count must have changed to be written.
-	censusNews = 0.1
+	// nodeCountInterval is how often the holder of the order lease counts the status records.
+	nodeCountInterval = 20 * time.Second
+	// statusTTL is how long a node is counted after its last status write.
+	statusTTL = 3 * statusInterval
+	// nodeCountTolerance is the relative change above which the stored count is updated.
+	nodeCountTolerance = 0.1
 )
 
-// census counts the nodes, at the holder of the order lease alone.
-type census struct {
-	// nodes is the count that the record tells, 0 before one does, as of revision.
+// nodeCounter counts the nodes while this node holds the order lease.
+type nodeCounter struct {
+	// nodes is the stored count as of revision, 0 before the first.
 	nodes    int
 	revision int64
 	nextAt   time.Time
@@ -36,35 +35,35 @@
 	from     string
 }
 
-// Nodes returns how many nodes there are, by the last count, 0 before the first.
-func (n *Node) Nodes() int { return n.census.nodes }
+// Nodes returns the last stored number of nodes, 0 before the first count.
+func (n *Node) Nodes() int { return n.nodeCount.nodes }
 
-// tickCensus begins a count when one is due.
-func (n *Node) tickCensus(now time.Time) {
-	c := &n.census
+// tickNodeCount starts a count when one is due.
+func (n *Node) tickNodeCount(now time.Time) {
+	c := &n.nodeCount
 	if c.busy || now.Before(c.nextAt) || !n.lease.Held(now) {
 		return
 	}
 	c.busy, c.counted, c.from = true, 0, ""
-	c.nextAt = now.Add(censusEvery)
+	c.nextAt = now.Add(nodeCountInterval)
 	n.countNodes()
 }
 
 func (n *Node) countNodes() {
 	n.queue.Add(task.Range{
-		Query: port.RecordRange{Table: StatusTable, Partition: StatusTable, From: n.census.from},
-		Done:  n.onNodes,
+		Query: port.RecordRange{Table: StatusTable, Partition: StatusTable, From: n.nodeCount.from},
+		Done:  n.onStatusPage,
 	})
 }
 
-func (n *Node) onNodes(now time.Time, result port.RecordResult) {
-	c := &n.census
+func (n *Node) onStatusPage(now time.Time, result port.RecordResult) {
+	c := &n.nodeCount
 	if result.Status != port.RecordDone {
 		c.busy = false
 		return
 	}
 	for _, record := range result.Records {
-		if n.alive(now, record) {
+		if n.isAlive(now, record) {
 			c.counted++
 		}
 		c.from = record.Key + "\x00"
@@ -73,23 +72,23 @@
 		n.countNodes()
 		return
 	}
-	n.tellCount(now)
+	n.writeNodeCount(now)
 }
 
-// alive reports whether a node told of itself of late.
-func (n *Node) alive(now time.Time, record port.Record) bool {
+// isAlive reports whether a node's status was written within statusTTL.
+func (n *Node) isAlive(now time.Time, record port.Record) bool {
 	status := &doorstepv1.NodeStatus{}
 	if err := proto.Unmarshal(record.Value, status); err != nil {
 		n.queue.Log(event.RecordUnreadable, "table", record.Table, "key", record.Key, "error", err.Error())
 		return false
 	}
-	return n.StoreClock(now)-time.Duration(status.AtMs)*time.Millisecond < statusLife
+	return n.StoreClock(now)-time.Duration(status.AtMs)*time.Millisecond < statusTTL
 }
 
-// tellCount writes the count if it has changed much.
-func (n *Node) tellCount(now time.Time) {
-	c := &n.census
-	if change := float64(c.counted - c.nodes); c.counted == 0 || !n.lease.Held(now) || max(change, -change) <= censusNews*float64(c.nodes) {
+// writeNodeCount stores the count if it differs significantly from the stored one.
+func (n *Node) writeNodeCount(now time.Time) {
+	c := &n.nodeCount
+	if change := float64(c.counted - c.nodes); c.counted == 0 || !n.lease.Held(now) || max(change, -change) <= nodeCountTolerance*float64(c.nodes) {
 		c.busy = false
 		return
 	}
@@ -100,9 +99,9 @@
 	})
 }
 
-// onNodeCount takes the record that tells how many nodes there are.
+// onNodeCount handles the record that holds the number of nodes.
 func (n *Node) onNodeCount(record port.Record) {
-	if record.Revision <= n.census.revision {
+	if record.Revision <= n.nodeCount.revision {
 		return
 	}
 	count, err := strconv.Atoi(string(record.Value))
@@ -110,6 +109,6 @@
 		n.queue.Log(event.RecordUnreadable, "table", record.Table, "key", record.Key, "error", "no count")
 		return
 	}
-	n.census.nodes, n.census.revision = count, record.Revision
+	n.nodeCount.nodes, n.nodeCount.revision = count, record.Revision
 	n.queue.Log(event.NodesCounted, "nodes", count)
 }
--- a/internal/process/cluster/census_test.go
+++ b/internal/process/cluster/nodecount_test.go
@@ -13,7 +13,7 @@
 	"github.com/doorstep/doorstep/internal/standin/model"
 )
 
-// holdLease has a node acquire the order lease against a store of its own.
+// holdLease makes a node acquire the order lease against a given store.
 func holdLease(t *testing.T, n *Node, store *model.Records) {
 	t.Helper()
 	n.NoteClock(start, start, time.Hour)
@@ -35,8 +35,8 @@
 	t.Fatal("the lease was not acquired")
 }
 
-// TestCensus: the holder counts the nodes that told of themselves of late, page by page, and tells the others
-// of a count that has changed much.
+// TestCensus checks that the lease holder counts recently active nodes over several pages and stores only
+// significant changes.
 func TestCensus(t *testing.T) {
 	n, store := newNode(), model.NewRecords(start, model.RecordsOptions{})
 	holdLease(t, n, store)
@@ -47,35 +47,35 @@
 		}
 		store.Commit(start, port.RecordTransaction{Puts: []port.Record{{RecordKey: StatusKey(name), Value: value}}})
 	}
-	count := func(now time.Time) (told int) {
-		n.tickCensus(now)
+	count := func(now time.Time) (writes int) {
+		n.tickNodeCount(now)
 		for range 10 {
 			for _, one := range n.Take() {
 				switch call := one.(type) {
 				case task.Range:
 					call.Done(now, store.Range(now, call.Query))
 				case task.Commit:
-					told++
+					writes++
 					call.Done(now, store.Commit(now, call.Transaction))
 					for _, record := range call.Transaction.Puts {
-						record.Revision = n.census.revision + 1
+						record.Revision = n.nodeCount.revision + 1
 						n.onLeaseRecord(now, record)
 					}
 				}
 			}
 		}
-		return told
+		return writes
 	}
 	for i := range 986 {
 		put(fmt.Sprintf("n%04d", i), 10*time.Second)
 	}
-	put("long-gone", 2*statusLife)
-	if told := count(start); told != 1 || n.Nodes() != 986 {
-		t.Errorf("%d records tell of %d nodes, should be one of 986", told, n.Nodes())
+	put("long-gone", 2*statusTTL)
+	if writes := count(start); writes != 1 || n.Nodes() != 986 {
+		t.Errorf("%d writes, %d nodes, want 1 write of 986 nodes", writes, n.Nodes())
 	}
 	put("one-more", 0)
-	n.census.nextAt = start
-	if told := count(start); told != 0 || n.Nodes() != 986 {
-		t.Errorf("%d records tell of %d nodes, should be none for one more", told, n.Nodes())
+	n.nodeCount.nextAt = start
+	if writes := count(start); writes != 0 || n.Nodes() != 986 {
+		t.Errorf("%d writes, %d nodes, want no write for one more node", writes, n.Nodes())
 	}
 }
--- a/internal/process/cluster/operators.go
+++ b/internal/process/cluster/operators.go
@@ -10,12 +10,11 @@
 	"github.com/doorstep/doorstep/internal/version/configuration"
 )
 
-// Operators returns what operators set, as this node last saw it.
-func (n *Node) Operators() *doorstepv1.Configuration { return n.operators }
+// Operators returns the operators' configuration last seen by this node.
+func (n *Node) Operators() *doorstepv1.Configuration { return n.operatorConfig }
 
-// onOperators puts a newer configuration of the operators in force. Revisions only rise,
-// so one that comes late changes nothing.
-func (n *Node) onOperators(now time.Time, record port.Record) {
+// onOperatorConfig applies an operators' configuration with a higher revision than the current one.
+func (n *Node) onOperatorConfig(now time.Time, record port.Record) {
 	if record.RecordKey != configuration.Key() {
 		return
 	}
@@ -24,29 +23,29 @@
 		n.queue.Log(event.RecordUnreadable, "table", record.Table, "key", record.Key, "error", err.Error())
 		return
 	}
-	if decoded.Revision <= n.operators.Revision {
+	if decoded.Revision <= n.operatorConfig.Revision {
 		return
 	}
-	n.operators = decoded
+	n.operatorConfig = decoded
 	n.queue.Log(event.ConfigurationHeld, "revision", decoded.Revision, "experiments", len(decoded.Experiments), "drains", len(decoded.Drains))
 	for _, e := range n.endpoints.All() {
-		e.Held = n.holds(e)
+		e.Held = n.drainedByOperator(e)
 	}
 	n.quarantine.Lift(now, configuration.Lifts(decoded))
-	n.drain(now)
+	n.updateDrain(now)
 }
 
-// holds reports whether operators drain a replica or its zone.
-func (n *Node) holds(e *endpoint.Endpoint) bool {
-	return configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, e.ID) ||
-		configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_ZONE, e.Zone)
+// drainedByOperator reports whether operators drain a replica or its zone.
+func (n *Node) drainedByOperator(e *endpoint.Endpoint) bool {
+	return configuration.Drained(n.operatorConfig, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, e.ID) ||
+		configuration.Drained(n.operatorConfig, doorstepv1.DrainKind_DRAIN_KIND_ZONE, e.Zone)
 }
 
-// drain hands this node's duties over while operators drain it or its zone, and takes
-// duties again afterwards. It answers on, but wants no new connections.
-func (n *Node) drain(now time.Time) {
-	drained := configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_NODE, n.options.Name) ||
-		configuration.Drained(n.operators, doorstepv1.DrainKind_DRAIN_KIND_ZONE, n.options.Topology.Zone)
+// updateDrain hands over this node's jobs when operators start draining it or its zone, and accepts jobs
+// again afterwards. A drained node still serves requests but reports itself not ready.
+func (n *Node) updateDrain(now time.Time) {
+	drained := configuration.Drained(n.operatorConfig, doorstepv1.DrainKind_DRAIN_KIND_NODE, n.options.Name) ||
+		configuration.Drained(n.operatorConfig, doorstepv1.DrainKind_DRAIN_KIND_ZONE, n.options.Topology.Zone)
 	if drained == n.drained || n.Stopping() {
 		return
 	}
@@ -58,11 +57,11 @@
 	n.jobs.Resume()
 }
 
-// demand is what trainers asked for lately, by model, in the shares that operators set.
+// demand returns the recent demand of trainers by model, weighted by the operators' shares.
 func (n *Node) demand(now time.Time) map[string]int64 {
 	demand := n.jobs.Demand(now)
 	for model := range demand {
-		demand[model] *= configuration.Share(n.operators, model)
+		demand[model] *= configuration.Share(n.operatorConfig, model)
 	}
 	return demand
 }
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -12,17 +12,16 @@
 )
 
 const (
-	// rolloutRoom is how many items of batch jobs a replica may hold, as a multiple
-	// of its slots.
-	rolloutRoom = 1.5
-	// scoringRoom is how many requests a replica may hold to get a scoring call, as a
-	// multiple of its slots: the rest is left to callers.
-	scoringRoom = 0.7
+	// maxItemLoad limits the items of batch jobs on a replica, as a multiple of its slots.
+	maxItemLoad = 1.5
+	// maxScoringLoad limits the requests on a replica that may get a scoring call, as a multiple of its
+	// slots. The rest is reserved for callers.
+	maxScoringLoad = 0.7
 )
 
-// place chooses an endpoint for an item of a batch job, once all replicas are known.
-func (n *Node) place(now time.Time, wanted batch.Placement) *endpoint.Endpoint {
-	if !n.listsAll() {
+// placeItem chooses an endpoint for an item of a batch job, nil until all replicas are known.
+func (n *Node) placeItem(now time.Time, wanted batch.Placement) *endpoint.Endpoint {
+	if !n.knowsAllReplicas() {
 		return nil
 	}
 	query := n.query(now, wanted.Route, wanted.Tenant)
@@ -31,35 +30,34 @@
 	query.Look = wanted.Look
 	query.Prefer = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
-	query.Room, query.Paced = rolloutRoom, wanted.Paced
+	query.Room, query.Paced = maxItemLoad, wanted.Paced
 	query.Exclude = excluded(wanted)
 	query.BestPace = n.bestPace(now, wanted.Route, query.Homes)
 	if wanted.Long {
-		if chosen := n.placeFast(query, wanted.Route); chosen != nil {
+		if chosen := n.placeOnFastReplica(query, wanted.Route); chosen != nil {
 			return chosen
 		}
-		return n.pick(&endpoint.LongRollouts, query, wanted.Route)
+		return n.chooseAndRecord(&endpoint.LongRollouts, query, wanted.Route)
 	}
-	return n.pick(&endpoint.Rollouts, query, wanted.Route)
+	return n.chooseAndRecord(&endpoint.Rollouts, query, wanted.Route)
 }
 
-// placeFast chooses one of the fastest endpoints for an item whose text may be among the longest,
-// nil if none of them begins it at once. Where a route is split, its weights go first; a service
-// without weight gets nothing.
-func (n *Node) placeFast(query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
+// placeOnFastReplica chooses one of the fastest endpoints for an item that may be among the longest, nil if
+// none has a free slot. It does not apply to routes split by weight or without weight.
+func (n *Node) placeOnFastReplica(query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
 	if len(route.Backends) != 1 || route.Backends[0].Weight <= 0 {
 		return nil
 	}
 	service := route.Backends[0].Service
-	n.guard(query, service)
+	n.setPermit(query, service)
 	chosen := endpoint.FastRollouts.Choose(query, n.endpoints.Pool(service))
 	if chosen != nil && !query.Look {
-		n.noteSend(query.Now, chosen, true)
+		n.recordSend(query.Now, chosen, true)
 	}
 	return chosen
 }
 
-// excluded returns the endpoints that an item must not go to.
+// excluded returns the endpoints that an item must not be sent to.
 func excluded(wanted batch.Placement) map[string]bool {
 	if wanted.Avoid == "" {
 		return wanted.Exclude
@@ -69,7 +67,7 @@
 	return exclude
 }
 
-// bestPace returns the least time between two events of runs on a route's replicas within homes.
+// bestPace returns the minimum time between two events of runs on a route's replicas in allowed regions.
 func (n *Node) bestPace(now time.Time, route *port.Route, homes port.Homes) time.Duration {
 	best := time.Duration(0)
 	for _, backend := range route.Backends {
@@ -85,26 +83,25 @@
 	return best
 }
 
-// Choose chooses an endpoint for a request of a tenant's caller that has been to those excluded.
+// Choose chooses an endpoint for a caller's request, other than the excluded ones.
 func (n *Node) Choose(now time.Time, route *port.Route, tenant, model string, exclude map[string]bool) *endpoint.Endpoint {
 	query := n.query(now, route, tenant)
 	query.Exclude = exclude
 	query.Model = model
-	chosen := n.pick(&endpoint.Requests, query, route)
-	n.wantMore(now, route, chosen)
+	chosen := n.chooseAndRecord(&endpoint.Requests, query, route)
+	n.requestMoreReplicas(now, route, chosen)
 	return chosen
 }
 
-// placeScoring chooses an endpoint for the scoring call of an item of a tenant's that has been to
-// those excluded.
+// placeScoring chooses an endpoint for an item's scoring call, other than the excluded ones.
 func (n *Node) placeScoring(now time.Time, route *port.Route, tenant string, exclude map[string]bool) *endpoint.Endpoint {
-	if !n.listsAll() {
+	if !n.knowsAllReplicas() {
 		return nil
 	}
 	query := n.query(now, route, tenant)
 	query.Exclude = exclude
-	query.Room = scoringRoom
-	return n.pick(&endpoint.ScoringCalls, query, route)
+	query.Room = maxScoringLoad
+	return n.chooseAndRecord(&endpoint.ScoringCalls, query, route)
 }
 
 func (n *Node) query(now time.Time, route *port.Route, tenant string) *endpoint.Query {
@@ -119,41 +116,41 @@
 	return query
 }
 
-// pick chooses an endpoint of the route's services, to which a request is sent right then.
-func (n *Node) pick(profile *endpoint.Profile, query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
+// chooseAndRecord chooses an endpoint and accounts for the request that is about to be sent to it.
+func (n *Node) chooseAndRecord(profile *endpoint.Profile, query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
 	chosen := n.choose(profile, query, route)
 	if chosen != nil && !query.Look {
-		n.noteSend(query.Now, chosen, query.Room > 0)
+		n.recordSend(query.Now, chosen, query.Room > 0)
 	}
 	return chosen
 }
 
-// choose prefers a warm endpoint to a cold one, even if it has to be waited for. One that was ejected
-// is better than none, but worse than to wait for room at another: it fails at once, so it always has
-// room.
+// choose prefers a warm endpoint to a cold one, even if the item has to wait for it. An ejected endpoint is
+// the last resort and is not used while another one may get room: its requests fail at once, so that it
+// always has room.
 func (n *Node) choose(profile *endpoint.Profile, query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
 	order := n.splitter.Order(route)
-	if chosen := n.pickInOrder(profile, query, order); chosen != nil {
+	if chosen := n.chooseInOrder(profile, query, order); chosen != nil {
 		return chosen
 	}
-	if query.Room > 0 && n.roomLater(profile, *query, order) {
+	if query.Room > 0 && n.canWaitForRoom(profile, *query, order) {
 		return nil
 	}
-	if chosen, later := n.pickCold(profile, *query, order); chosen != nil || later {
+	if chosen, later := n.chooseCold(profile, *query, order); chosen != nil || later {
 		return chosen
 	}
 	if query.Look {
-		// A run that goes on is not moved to where it would fail at once.
+		// A running item is not moved to an ejected endpoint.
 		return nil
 	}
 	query.AllowEjected = true
-	return n.pickInOrder(profile, query, order)
+	return n.chooseInOrder(profile, query, order)
 }
 
-// pickInOrder tries services in the order of the splitter.
-func (n *Node) pickInOrder(profile *endpoint.Profile, query *endpoint.Query, order []string) *endpoint.Endpoint {
+// chooseInOrder tries the services in order.
+func (n *Node) chooseInOrder(profile *endpoint.Profile, query *endpoint.Query, order []string) *endpoint.Endpoint {
 	for _, service := range order {
-		n.guard(query, service)
+		n.setPermit(query, service)
 		if chosen := profile.Choose(query, n.endpoints.Pool(service)); chosen != nil {
 			return chosen
 		}
@@ -161,14 +158,14 @@
 	return nil
 }
 
-// roomLater reports whether there is an endpoint that lacks nothing but room.
-func (n *Node) roomLater(profile *endpoint.Profile, query endpoint.Query, order []string) bool {
+// canWaitForRoom reports whether there is an endpoint that lacks only room.
+func (n *Node) canWaitForRoom(profile *endpoint.Profile, query endpoint.Query, order []string) bool {
 	query.Room, query.Unguarded = math.Inf(1), true
-	return n.pickInOrder(profile, &query, order) != nil
+	return n.chooseInOrder(profile, &query, order) != nil
 }
 
-// mostEvents returns the most events that a request's text may have, 0 if it does not tell.
-func (n *Node) mostEvents(route *port.Route, header http.Header) int {
+// maxEvents returns the maximum number of events of a request's text, 0 if unknown.
+func (n *Node) maxEvents(route *port.Route, header http.Header) int {
 	service := n.serviceOf(route)
 	if service.EventTokens <= 0 {
 		return 0
@@ -177,7 +174,7 @@
 	return (most + service.EventTokens - 1) / service.EventTokens
 }
 
-// serviceOf returns the first service of a route, an empty one if the configuration names none.
+// serviceOf returns the first service of a route, a zero one if it has none or the configuration lacks it.
 func (n *Node) serviceOf(route *port.Route) port.Service {
 	if len(route.Backends) == 0 {
 		return port.Service{}
@@ -186,18 +183,18 @@
 	return service
 }
 
-// lengthDoubt is by what factor a text that has passed its caller's estimate is expected to
-// outgrow what there is of it.
-const lengthDoubt = 1.3
+// lengthGrowth is the expected ratio of the final to the current length of a text that has exceeded its
+// caller's estimate.
+const lengthGrowth = 1.3
 
-// expectedTokens returns the memory that a request is expected to take at its replica, given the
-// events that there are of its text, in tokens; 0 where events' tokens are not told.
+// expectedTokens returns the memory that a request is expected to use on its replica in tokens, given the
+// number of events so far; 0 if the service's configuration does not allow an estimate.
 func (n *Node) expectedTokens(route *port.Route, header http.Header, events int) int {
 	service := n.serviceOf(route)
 	if service.EventTokens <= 0 || service.MemoryTokens <= 0 {
 		return 0
 	}
 	prompt, most := n.options.Decoder.Tokens(header)
-	made := max(n.options.Decoder.LengthHint(header), int(lengthDoubt*float64(events*service.EventTokens)))
+	made := max(n.options.Decoder.LengthHint(header), int(lengthGrowth*float64(events*service.EventTokens)))
 	return prompt + min(made, most)
 }
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -10,13 +10,13 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// ovc-plovdiv-large, trouble-3: two replicas that reset every connection drew 870 runs of one
-// job within half a second, as they alone always had room.
+// TestItemsWaitForRoomRatherThanGoToAnEjectedReplica guards against ejected replicas attracting all items because
+// they alone always have room.
 func TestItemsWaitForRoomRatherThanGoToAnEjectedReplica(t *testing.T) {
 	route := &port.Route{Name: "r", Kind: port.RouteBatch, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 	for _, c := range []struct {
 		name string
-		// full and ejected say what is wrong with each of two replicas.
+		// full and ejected hold the state of each of the two replicas.
 		full, ejected [2]bool
 		want          string
 	}{
@@ -26,7 +26,7 @@
 		{"all ejected, one full as well", [2]bool{true, false}, [2]bool{true, true}, "b"},
 	} {
 		n := newNode()
-		n.apply(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
+		n.applyRoutes(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
 		for i, id := range []string{"a", "b"} {
 			one := n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}}).Endpoint
 			if c.full[i] {
@@ -39,16 +39,16 @@
 		}
 		n.rotation = 1
 		got := ""
-		if chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m"}); chosen != nil {
+		if chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m"}); chosen != nil {
 			got = chosen.ID
 		}
 		if got != c.want {
-			t.Errorf("%s: %q, should be %q", c.name, got, c.want)
+			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// sizedDecoder tells of each request a prompt of 100 tokens, 1,000 at the most, and 300 expected.
+// sizedDecoder returns a prompt of 100 tokens, at most 1,000 generated tokens and a length hint of 300.
 type sizedDecoder struct{ decoder }
 
 func (sizedDecoder) Tokens(http.Header) (prompt, most int) { return 100, 1000 }
@@ -66,31 +66,31 @@
 		most    int
 	}{
 		{"by the hint", port.Service{Name: "s", EventTokens: 10, MemoryTokens: 5000}, route, 0, 400, 100},
-		{"by what there is of the text", port.Service{Name: "s", EventTokens: 10, MemoryTokens: 5000}, route, 50, 750, 100},
-		{"the most that it may make", port.Service{Name: "s", EventTokens: 10, MemoryTokens: 5000}, route, 99, 1100, 100},
+		{"by the events so far", port.Service{Name: "s", EventTokens: 10, MemoryTokens: 5000}, route, 50, 750, 100},
+		{"the maximum", port.Service{Name: "s", EventTokens: 10, MemoryTokens: 5000}, route, 99, 1100, 100},
 		{"the last event is not full", port.Service{Name: "s", EventTokens: 300, MemoryTokens: 5000}, route, 0, 400, 4},
-		{"events' tokens are not told", port.Service{Name: "s", MemoryTokens: 5000}, route, 0, 0, 0},
-		{"the memory is not told", port.Service{Name: "s", EventTokens: 10}, route, 0, 0, 100},
+		{"tokens per event unknown", port.Service{Name: "s", MemoryTokens: 5000}, route, 0, 0, 0},
+		{"memory unknown", port.Service{Name: "s", EventTokens: 10}, route, 0, 0, 100},
 		{"a route without a service", port.Service{Name: "s", EventTokens: 10, MemoryTokens: 5000}, &port.Route{Name: "r"}, 0, 0, 0},
 	} {
 		n := newNode()
 		n.options.Decoder = sizedDecoder{}
-		n.apply(start, &port.RouteTable{Version: 1, Services: []port.Service{c.service}})
+		n.applyRoutes(start, &port.RouteTable{Version: 1, Services: []port.Service{c.service}})
 		if got := n.expectedTokens(c.route, nil, c.events); got != c.tokens {
-			t.Errorf("%s: %d tokens, should be %d", c.name, got, c.tokens)
+			t.Errorf("%s: %d tokens, want %d", c.name, got, c.tokens)
 		}
-		if got := n.mostEvents(c.route, nil); got != c.most {
-			t.Errorf("%s: %d events at the most, should be %d", c.name, got, c.most)
+		if got := n.maxEvents(c.route, nil); got != c.most {
+			t.Errorf("%s: at most %d events, want %d", c.name, got, c.most)
 		}
 	}
 }
 
-// TestMovesGoWhereThePaceIsKnown: a run isn't moved to a replica that nobody has seen work yet, so
-// that one of these must not hide those that are known to be fast.
-func TestMovesGoWhereThePaceIsKnown(t *testing.T) {
+// TestMovesRequireKnownPace checks that a running item is moved only to a replica with a known pace, even
+// if one without is idle.
+func TestMovesRequireKnownPace(t *testing.T) {
 	route := &port.Route{Name: "r", Kind: port.RouteBatch, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 	n := newNode()
-	n.apply(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
+	n.applyRoutes(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
 	for _, id := range []string{"known", "slow", "unknown"} {
 		n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 	}
@@ -100,32 +100,32 @@
 	n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
 	for _, paced := range []bool{false, true} {
 		want := map[bool]string{false: "unknown", true: "known"}[paced]
-		chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Paced: paced})
+		chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Paced: paced})
 		if chosen == nil || chosen.ID != want {
-			t.Errorf("paced %t: %v, should be %s", paced, chosen, want)
+			t.Errorf("paced %t: %v, want %s", paced, chosen, want)
 		}
 	}
 }
 
-// TestLongItemsGoToFastReplicas: with room at one of the fastest replicas, a text that may be
-// among the longest isn't begun at a slower one, however idle that is.
+// TestLongItemsGoToFastReplicas checks that a long item is not started on a slower replica while a fast one
+// has room.
 func TestLongItemsGoToFastReplicas(t *testing.T) {
 	route := &port.Route{Name: "r", Kind: port.RouteBatch, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 	for _, c := range []struct {
 		name string
 		long bool
-		// inFlight and tokens are what this node has at the fast replica, of 4 slots and 1,000.
+		// inFlight and tokens are this node's load on the fast replica, which has 4 slots and 1,000 tokens.
 		inFlight, tokens int
 		want             string
 	}{
 		{"both idle", true, 0, 0, "fast"},
-		{"the fast one has its last slot free", true, 3, 300, "fast"},
-		{"the fast one has no slot", true, 4, 300, "slow"},
-		{"the fast one has no memory", true, 3, 900, "slow"},
-		{"a text that is likely short", false, 0, 0, "slow"},
+		{"one slot free on the fast one", true, 3, 300, "fast"},
+		{"no slot free on the fast one", true, 4, 300, "slow"},
+		{"no memory free on the fast one", true, 3, 900, "slow"},
+		{"a text expected to be short", false, 0, 0, "slow"},
 	} {
 		n := newNode()
-		n.apply(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s", MemoryTokens: 1000}}})
+		n.applyRoutes(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s", MemoryTokens: 1000}}})
 		for _, id := range []string{"fast", "slow"} {
 			n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 		}
@@ -133,48 +133,48 @@
 		fast.InFlight, fast.Tokens = c.inFlight, c.tokens
 		fast.LearnPace(start, 50*time.Millisecond)
 		n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
-		chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Long: c.long, Tokens: 200})
+		chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Long: c.long, Tokens: 200})
 		if chosen == nil || chosen.ID != c.want {
-			t.Errorf("%s: %v, should be %s", c.name, chosen, c.want)
+			t.Errorf("%s: %v, want %s", c.name, chosen, c.want)
 		}
 	}
 }
 
-// TestLongItemsKeepToWeights: an operator takes a route's services away by a weight of 0.
-func TestLongItemsKeepToWeights(t *testing.T) {
+// TestLongItemsRespectWeights checks that long items, too, are not sent to a service with weight 0.
+func TestLongItemsRespectWeights(t *testing.T) {
 	route := &port.Route{Name: "r", Kind: port.RouteBatch, Backends: []port.Backend{{Service: "s", Weight: 0}}}
 	n := newNode()
-	n.apply(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
+	n.applyRoutes(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
 	n.endpoints.Put(port.ReplicaRecord{ID: "a", Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 	for _, long := range []bool{false, true} {
-		if chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Long: long}); chosen != nil {
-			t.Errorf("long %t: %s is chosen, though its service has no weight", long, chosen.ID)
+		if chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Long: long}); chosen != nil {
+			t.Errorf("long %t: %s chosen although its service has weight 0", long, chosen.ID)
 		}
 	}
 }
 
-// TestLongItemsKeepToBounds: whatever keeps a replica from other items keeps it from long ones, though
-// it is the fastest and idle.
-func TestLongItemsKeepToBounds(t *testing.T) {
+// TestLongItemsRespectRestrictions checks that long items respect everything that makes a replica unusable for other
+// items, even if it is the fastest and idle.
+func TestLongItemsRespectRestrictions(t *testing.T) {
 	route := &port.Route{Name: "r", Kind: port.RouteBatch, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 	for _, c := range []struct {
-		name string
-		bar  func(fast *endpoint.Endpoint, wanted *batch.Placement)
-		want string
+		name     string
+		restrict func(fast *endpoint.Endpoint, wanted *batch.Placement)
+		want     string
 	}{
-		{"nothing bars it", func(*endpoint.Endpoint, *batch.Placement) {}, "fast"},
-		{"it leaves", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Draining = true }, "slow"},
+		{"no restriction", func(*endpoint.Endpoint, *batch.Placement) {}, "fast"},
+		{"draining", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Draining = true }, "slow"},
 		{"drained", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Held = true }, "slow"},
-		{"its zone is evacuated", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetEvacuated(start, true) }, "slow"},
+		{"zone evacuated", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetEvacuated(start, true) }, "slow"},
 		{"cold", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.ColdUntil = start.Add(time.Second) }, "slow"},
 		{"ejected", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Failed(start); fast.Failed(start) }, "slow"},
-		{"it loads", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetLoading("m", start.Add(time.Second)) }, "slow"},
-		{"too old a version", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Versions["m"] = 0 }, "slow"},
-		{"the item was there", func(_ *endpoint.Endpoint, wanted *batch.Placement) { wanted.Avoid = "fast" }, "slow"},
-		{"another runs apart there", func(_ *endpoint.Endpoint, wanted *batch.Placement) { wanted.Exclude = map[string]bool{"fast": true} }, "slow"},
+		{"loading the model", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetLoading("m", start.Add(time.Second)) }, "slow"},
+		{"version too old", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Versions["m"] = 0 }, "slow"},
+		{"the item is to avoid it", func(_ *endpoint.Endpoint, wanted *batch.Placement) { wanted.Avoid = "fast" }, "slow"},
+		{"excluded for the item", func(_ *endpoint.Endpoint, wanted *batch.Placement) { wanted.Exclude = map[string]bool{"fast": true} }, "slow"},
 	} {
 		n := newNode()
-		n.apply(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{
+		n.applyRoutes(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{
 			Name: "s", Cold: &port.ColdStart{Lasts: coldLasts, PerSecond: coldPerSecond},
 		}}})
 		for _, id := range []string{"fast", "slow"} {
@@ -184,19 +184,19 @@
 		fast.LearnPace(start, 50*time.Millisecond)
 		n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
 		wanted := batch.Placement{Route: route, Model: "m", MinVersion: 1, Long: true, Look: true}
-		c.bar(fast, &wanted)
-		if chosen := n.place(start.Add(time.Millisecond), wanted); chosen == nil || chosen.ID != c.want {
-			t.Errorf("%s: %v, should be %s", c.name, chosen, c.want)
+		c.restrict(fast, &wanted)
+		if chosen := n.placeItem(start.Add(time.Millisecond), wanted); chosen == nil || chosen.ID != c.want {
+			t.Errorf("%s: %v, want %s", c.name, chosen, c.want)
 		}
 	}
 }
 
-// TestMovesDontGoToAnEjectedReplica: one that failed lately is better than none for an item that waits,
-// but not for one that runs.
-func TestMovesDontGoToAnEjectedReplica(t *testing.T) {
+// TestMovesAvoidEjectedReplicas checks that an ejected replica is a last resort for waiting items only, not
+// for running ones.
+func TestMovesAvoidEjectedReplicas(t *testing.T) {
 	route := &port.Route{Name: "r", Kind: port.RouteBatch, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 	n := newNode()
-	n.apply(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
+	n.applyRoutes(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{Name: "s"}}})
 	for _, id := range []string{"slow", "ejected"} {
 		n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 	}
@@ -206,11 +206,11 @@
 	ejected.Failed(start)
 	for look, want := range map[bool]string{true: "", false: "ejected"} {
 		got := ""
-		if chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Look: look}); chosen != nil {
+		if chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Look: look}); chosen != nil {
 			got = chosen.ID
 		}
 		if got != want {
-			t.Errorf("look %t: %q, should be %q", look, got, want)
+			t.Errorf("look %t: %q, want %q", look, got, want)
 		}
 	}
 }
--- a/internal/process/cluster/purity_test.go
+++ b/internal/process/cluster/purity_test.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// decisionPackages hold decisions: no clock, no I/O, no goroutine.
+// decisionPackages must not read the clock, do I/O or start goroutines.
 var decisionPackages = []string{
 	"internal/process/cluster", "internal/process/endpoint", "internal/process/quarantine", "internal/process/recordwatch", "internal/process/task",
 	"internal/request/query", "internal/request/relay", "internal/request/statement",
 	"internal/version/batch", "internal/version/recordlease", "internal/version/rollout", "internal/version/routes",
 }
 
-// forbiddenImports do I/O or run other things. net/http is there for its message types.
+// forbiddenImports do I/O or synchronization. net/http is allowed for its message types.
 var forbiddenImports = []string{"os", "os/exec", "io/ioutil", "syscall", "log", "sync", "context"}
 
-// forbiddenCalls read the clock or wait on it.
+// forbiddenCalls read the clock, wait, do I/O or use global randomness.
 var forbiddenCalls = []string{
 	"time.Now", "time.Since", "time.Until", "time.After", "time.AfterFunc", "time.Sleep", "time.NewTimer", "time.NewTicker", "time.Tick",
 	"http.Get", "http.Post", "net.Dial", "net.Listen", "rand.Int", "rand.IntN", "rand.Float64",
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -10,131 +10,133 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// In a large deployment most nodes send to no replica at most times. A node follows the list of replicas
-// while it has use for it: some replicas of a service while it serves callers' requests, all while it owns
-// jobs or holds a lease whose holder decides over replicas.
+// In a large deployment a node follows the list of replicas only as far as it needs it: some replicas of a
+// service while it serves callers' requests, and all of them while it owns jobs or holds a lease that
+// manages replicas.
 const (
-	// partFor is how long some replicas are followed behind the last request: the changes of so long
-	// cost what reading them again does, at 50 changes of 700 bytes a second.
-	partFor = 2 * time.Second
-	// wholeFor is the same for all replicas: 10,000 are read in 20 calls and 7 MB. Jobs of a model come
-	// a few seconds apart.
-	wholeFor = 30 * time.Second
-	// firstReplicas is how many replicas of a service that get work are enough at first to serve callers'
-	// requests, more than the attempts that routes allow. Each time that none of those known has a slot
-	// free twice as many are read.
-	firstReplicas = 4
+	// partRetention is how long some replicas are followed after the last request.
+	partRetention = 2 * time.Second
+	// wholeRetention is how long all replicas are followed after the last need. It covers the time between two
+	// jobs of a model, as reading a large list is expensive.
+	wholeRetention = 30 * time.Second
+	// initialReplicas is the number of available replicas of a service that are read first to serve callers'
+	// requests. It exceeds the number of attempts that routes allow and is doubled whenever all known
+	// replicas are busy.
+	initialReplicas = 4
 )
 
-// largeList returns from how many replicas on the list is one that nodes follow as far as they have use
-// for it: one call reads a smaller one whole.
-func (o *Options) largeList() int {
+// largeListSize returns the number of replicas from which on the list is followed only on demand. A
+// smaller list is read in a single call.
+func (o *Options) largeListSize() int {
 	if o.LargeList > 0 {
 		return o.LargeList
 	}
 	return recordwatch.LargeTable
 }
 
-// replicaUse is what this node uses the list of replicas for.
-type replicaUse struct {
-	// requests counts callers' requests under way, usedUntil is until when their services' replicas are
-	// followed behind the last of them, neededUntil until when all are.
-	requests               int
-	usedUntil, neededUntil time.Time
-	// wanted is how many replicas of each service are enough since the last rest.
-	wanted int
-	// services are those of the requests since the last rest, the latest last; origins are the replicas
-	// from which on a service's are read.
+// replicaDemand tracks how much of the list of replicas this node needs.
+type replicaDemand struct {
+	// requests counts callers' requests in progress. partUntil is until when their services' replicas are
+	// followed, wholeUntil until when all replicas are.
+	requests              int
+	partUntil, wholeUntil time.Time
+	// perService is the number of replicas of each service that are read; it is reset once the list is no
+	// longer followed.
+	perService int
+	// services are the requested services, the most recent last; origins holds the replica at which reading
+	// a service's replicas starts.
 	services []string
 	origins  map[string]string
-	// reading is what a reading of some replicas brought so far, of so many records.
-	reading       port.Deployment
-	readingLength int
+	// partial holds what a partial read has returned so far, decoded from partialRecords records.
+	partial        port.Deployment
+	partialRecords int
 }
 
-// partialList lets the watch of the list of replicas know what this node has use for.
+// partialList returns the callbacks by which the watch reads only a part of the list.
 func (n *Node) partialList(table string) *recordwatch.Partial {
 	return &recordwatch.Partial{
-		Large: n.options.largeList(), Extent: n.replicaExtent, Known: n.endpoints.Len, Begin: n.listOrigin, Enough: n.enoughListed,
-		OnPart: func(now time.Time) { n.onSomeReplicas(now, table) },
+		Large: n.options.largeListSize(), Extent: n.replicaExtent, Known: n.endpoints.Len, Begin: n.listOrigin, Enough: n.hasEnoughReplicas,
+		OnPart: func(now time.Time) { n.onPartialList(now, table) },
 	}
 }
 
-// replicaExtent returns how much of the list of replicas this node has use for.
+// replicaExtent returns how much of the list of replicas this node needs.
 func (n *Node) replicaExtent(now time.Time) recordwatch.Extent {
-	use := &n.replicaUse
-	if n.jobs.Owned() > 0 || n.leads(now) {
-		use.neededUntil = now.Add(wholeFor)
+	use := &n.replicaDemand
+	if n.jobs.Owned() > 0 || n.holdsReplicaLease(now) {
+		use.wholeUntil = now.Add(wholeRetention)
 	}
 	switch {
-	case now.Before(use.neededUntil):
+	case now.Before(use.wholeUntil):
 		return recordwatch.Whole
-	case use.requests > 0 || now.Before(use.usedUntil):
+	case use.requests > 0 || now.Before(use.partUntil):
 		return recordwatch.Part
 	}
-	use.services, use.wanted = nil, firstReplicas
+	use.services, use.perService = nil, initialReplicas
 	return recordwatch.Nothing
 }
 
-// leads reports whether this node holds a lease whose holder decides over replicas.
-func (n *Node) leads(now time.Time) bool {
+// holdsReplicaLease reports whether this node holds a lease that manages replicas.
+func (n *Node) holdsReplicaLease(now time.Time) bool {
 	return n.lease.Held(now) || n.scaling != nil && n.scaling.lease.Held(now)
 }
 
-// listsAll reports whether no replica is passed over that stands in the list: only then items are placed,
-// and the lease's holders decide. It is so as well before anything was read, as none is known then.
-func (n *Node) listsAll() bool { return !n.replicas.Read() || n.replicas.Follows(recordwatch.Whole) }
+// knowsAllReplicas reports whether every listed replica is known, which placing items and the duties of lease
+// holders require. It is also true before the first read, when no replica is known.
+func (n *Node) knowsAllReplicas() bool {
+	return !n.replicas.Read() || n.replicas.Follows(recordwatch.Whole)
+}
 
-// listedSince returns since when all replicas are known without a break, zero while they aren't.
-func (n *Node) listedSince() time.Time {
+// completeSince returns since when all replicas are known without interruption, zero if they are not.
+func (n *Node) completeSince() time.Time {
 	since := n.replicas.Since()
-	if since.IsZero() || n.lapses.listedSince.IsZero() {
+	if since.IsZero() || n.lapses.healthySince.IsZero() {
 		return time.Time{}
 	}
-	if n.lapses.listedSince.After(since) {
-		return n.lapses.listedSince
+	if n.lapses.healthySince.After(since) {
+		return n.lapses.healthySince
 	}
 	return since
 }
 
-// BeginRequest notes that a request of a route's callers is under way, until EndRequest is called. It
-// reports whether replicas for it are being read, which task.ReplicasKnown tells the end of.
+// BeginRequest registers a caller's request of a route until EndRequest is called. It reports whether replicas
+// for it are being read; task.ReplicasKnown signals the end of the read.
 func (n *Node) BeginRequest(now time.Time, route *port.Route) bool {
-	use := &n.replicaUse
+	use := &n.replicaDemand
 	use.requests++
 	for _, backend := range route.Backends {
-		use.note(backend.Service)
+		use.addService(backend.Service)
 	}
 	n.replicas.Tick(now)
 	return n.ReplicasAwaited()
 }
 
-// ReplicasAwaited reports whether replicas for callers' requests are being read. While the store is away
-// requests go to those that were known before.
+// ReplicasAwaited reports whether replicas for callers' requests are being read. While the store is
+// unavailable, requests use the replicas known before.
 func (n *Node) ReplicasAwaited() bool {
-	return !n.lapses.away && n.replicas.Awaited(recordwatch.Part)
+	return !n.lapses.storeDown && n.replicas.Awaited(recordwatch.Part)
 }
 
-// MoreReplicasAwaited reports whether more replicas than those known are being read, as a choice found none
-// that may be used.
+// MoreReplicasAwaited reports whether additional replicas are being read because none of the known ones was
+// usable.
 func (n *Node) MoreReplicasAwaited() bool {
-	return !n.lapses.away && !n.listsAll() && n.replicas.Reading()
+	return !n.lapses.storeDown && !n.knowsAllReplicas() && n.replicas.Reading()
 }
 
-// onStoreHealth notes that the store went away, or came back, while the list of replicas was not followed.
+// onStoreHealth handles a failure or recovery of the store while the list of replicas is not followed.
 func (n *Node) onStoreHealth(now time.Time, healthy bool) {
 	if !n.replicas.Follows(recordwatch.Part) {
 		n.onReplicaHealth(now, healthy)
 	}
 }
 
-// EndRequest ends a request that BeginRequest began.
+// EndRequest unregisters a request registered by BeginRequest.
 func (n *Node) EndRequest(now time.Time) {
-	n.replicaUse.requests--
-	n.replicaUse.usedUntil = now.Add(partFor)
+	n.replicaDemand.requests--
+	n.replicaDemand.partUntil = now.Add(partRetention)
 }
 
-func (u *replicaUse) note(service string) {
+func (u *replicaDemand) addService(service string) {
 	for i, one := range u.services {
 		if one == service {
 			u.services = append(append(u.services[:i:i], u.services[i+1:]...), service)
@@ -144,12 +146,12 @@
 	u.services = append(u.services, service)
 }
 
-// listOrigin returns the key from which some replicas are read: a replica of the service that was asked
-// for last, the same one as before while it gets work, so that the same ones are known again, to which
-// connections may be open. Nodes begin at different ones.
+// listOrigin returns the key at which a partial read starts: a replica of the most recently requested
+// service. It stays the same while that replica is available, to reuse open connections, and differs between
+// nodes to spread their requests.
 func (n *Node) listOrigin() string {
-	use := &n.replicaUse
-	use.reading, use.readingLength = port.Deployment{}, 0
+	use := &n.replicaDemand
+	use.partial, use.partialRecords = port.Deployment{}, 0
 	if len(use.services) == 0 {
 		return ""
 	}
@@ -172,70 +174,69 @@
 	return first.ID
 }
 
-// enoughListed reports whether the records of a reading are enough to serve the requests of late. Each is
-// decoded once: that is most of what the first request behind a rest waits for on a slow machine.
-func (n *Node) enoughListed(records []port.Record) bool {
-	use := &n.replicaUse
-	more := n.options.Decoder.DecodeDeployment(records[use.readingLength:])
-	use.readingLength = len(records)
-	use.reading.Replicas = append(use.reading.Replicas, more.Replicas...)
-	use.reading.Unreadable = append(use.reading.Unreadable, more.Unreadable...)
+// hasEnoughReplicas reports whether the records read so far suffice for recent requests. Only new records are
+// decoded, as decoding dominates the latency of the first request.
+func (n *Node) hasEnoughReplicas(records []port.Record) bool {
+	use := &n.replicaDemand
+	more := n.options.Decoder.DecodeDeployment(records[use.partialRecords:])
+	use.partialRecords = len(records)
+	use.partial.Replicas = append(use.partial.Replicas, more.Replicas...)
+	use.partial.Unreadable = append(use.partial.Unreadable, more.Unreadable...)
 	counts := map[string]int{}
-	for _, one := range use.reading.Replicas {
+	for _, one := range use.partial.Replicas {
 		if !one.Draining {
 			counts[one.Service]++
 		}
 	}
 	for _, service := range use.services {
-		if counts[service] < use.wanted {
+		if counts[service] < use.perService {
 			return false
 		}
 	}
 	return true
 }
 
-// onSomeReplicas takes a part of the list. Replicas that are not among them are dropped, as their changes
-// were not followed, but for the time after an outage in which records may be missing.
-func (n *Node) onSomeReplicas(now time.Time, table string) {
-	change := n.replicaUse.reading
-	n.replicaUse.reading = port.Deployment{}
-	n.unreadable.note(n.queue, table, change.Unreadable, false)
+// onPartialList handles a partial read of the list. Other replicas are removed, as their changes were not
+// followed, except during the grace period after an outage in which records may be missing.
+func (n *Node) onPartialList(now time.Time, table string) {
+	change := n.replicaDemand.partial
+	n.replicaDemand.partial = port.Deployment{}
+	n.unreadable.logNew(n.queue, table, change.Unreadable, false)
 	listed := n.putReplicas(now, change.Replicas, true)
-	if !n.lapses.open(now) {
+	if !n.lapses.retaining(now) {
 		for _, dropped := range n.endpoints.Retain(listed) {
 			n.queue.Add(task.Forget{Address: dropped.Address})
 			n.forgetCold(now, dropped.ID)
 		}
 	}
-	n.tellListed(len(change.Replicas))
+	n.logListed(len(change.Replicas))
 	n.queue.Add(task.ReplicasKnown{})
 }
 
-// putReplicas takes replicas' records and returns their IDs.
+// putReplicas adds or updates replicas and returns their IDs.
 func (n *Node) putReplicas(now time.Time, records []port.ReplicaRecord, silent bool) map[string]bool {
 	listed := make(map[string]bool, len(records))
-	n.silentAdds = silent
+	n.suppressAddLogs = silent
 	for _, record := range records {
 		listed[record.ID] = true
 		n.putReplica(now, n.endpoints.Put(record))
 	}
-	n.silentAdds = false
+	n.suppressAddLogs = false
 	return listed
 }
 
-// tellListed tells of a reading of the list.
-func (n *Node) tellListed(count int) {
+// logListed logs a summary of a read of the list.
+func (n *Node) logListed(count int) {
 	n.queue.Log(event.ReplicasListed, "replicas", count, "known", n.endpoints.Len())
 }
 
-// wantMore lets this node read more replicas if a request found none that begins it at once among those
-// that it knows.
-func (n *Node) wantMore(now time.Time, route *port.Route, chosen *endpoint.Endpoint) {
-	if chosen != nil && chosen.Load(now) < max(chosen.Slots, 1) || n.listsAll() {
+// requestMoreReplicas reads more replicas if a request found no known replica with a free slot.
+func (n *Node) requestMoreReplicas(now time.Time, route *port.Route, chosen *endpoint.Endpoint) {
+	if chosen != nil && chosen.Load(now) < max(chosen.Slots, 1) || n.knowsAllReplicas() {
 		return
 	}
 	for _, backend := range route.Backends {
-		n.replicaUse.wanted = max(n.replicaUse.wanted, 2*len(n.endpoints.Service(backend.Service)))
+		n.replicaDemand.perService = max(n.replicaDemand.perService, 2*len(n.endpoints.Service(backend.Service)))
 	}
 	n.replicas.ReadMore(now)
 }
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -13,7 +13,7 @@
 	"github.com/doorstep/doorstep/internal/standin/model"
 )
 
-// listDecoder reads the records of a deployment as JSON.
+// listDecoder decodes deployment records as JSON.
 type listDecoder struct{ decoder }
 
 func (listDecoder) DecodeDeployment(records []port.Record) port.Deployment {
@@ -33,17 +33,16 @@
 	return change
 }
 
-// largeDeployment is one node before a store whose list holds many replicas, one in twenty of which
-// serves callers.
+// largeDeployment is a node with a store that lists many replicas, one in twenty of which serves callers.
 type largeDeployment struct {
 	t     *testing.T
 	now   time.Time
 	store *model.Records
 	node  *Node
-	// away is set while the store gives no answers; read counts the records of the list that were read.
-	away bool
-	read int
-	// held are calls that wait for changes, known counts the readings that requests were told of.
+	// storeDown is set while the store does not respond; read counts the replica records read.
+	storeDown bool
+	read      int
+	// held are pending watches; known counts task.ReplicasKnown tasks.
 	held  []heldWatch
 	known int
 }
@@ -80,11 +79,11 @@
 	}
 	result := d.store.Commit(d.now, port.RecordTransaction{Puts: []port.Record{{RecordKey: port.RecordKey{Table: table, Key: key}, Value: content}}})
 	if result.Status != port.RecordDone {
-		d.t.Fatalf("the store does not take %s", key)
+		d.t.Fatalf("write of %s failed", key)
 	}
 }
 
-// run lets the node tick for a time.
+// run ticks the node for some time.
 func (d *largeDeployment) run(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); d.now = d.now.Add(25 * time.Millisecond) {
 		d.node.Tick(d.now)
@@ -92,7 +91,7 @@
 	}
 }
 
-// settle answers the node's calls, those that wait for changes once there are some.
+// settle answers the node's calls. Watches stay pending until there are changes.
 func (d *largeDeployment) settle() {
 	held := d.held
 	d.held = nil
@@ -113,26 +112,26 @@
 	case task.Watch:
 		d.watch(heldWatch{t, d.now.Add(t.Wait)})
 	case task.Commit:
-		// The leases are others'.
+		// Other nodes hold the leases.
 		t.Done(d.now, port.RecordResult{Status: port.RecordRefused})
 	case task.ReplicasKnown:
 		d.known++
 	}
 }
 
-// watch answers a call that waits for changes.
+// watch answers a watch or leaves it pending.
 func (d *largeDeployment) watch(one heldWatch) {
 	result, _ := d.store.Changes(d.now, one.Table, one.After)
-	if len(result.Records) == 0 && d.now.Before(one.until) && !d.away {
+	if len(result.Records) == 0 && d.now.Before(one.until) && !d.storeDown {
 		d.held = append(d.held, one)
 		return
 	}
 	one.Done(d.now, d.answer(one.Table, result))
 }
 
-// answer counts what a call brought of the list.
+// answer returns the result of a call and counts the replica records in it.
 func (d *largeDeployment) answer(table string, result port.RecordResult) port.RecordResult {
-	if d.away {
+	if d.storeDown {
 		return port.RecordResult{Status: port.RecordUnknown}
 	}
 	if table == "replicas" {
@@ -141,7 +140,7 @@
 	return result
 }
 
-// serve lets the node choose a replica for a caller's request.
+// serve returns the replica chosen for a caller's request.
 func (d *largeDeployment) serve() string {
 	d.t.Helper()
 	d.node.BeginRequest(d.now, callersRoute)
@@ -157,14 +156,14 @@
 	return chosen.ID
 }
 
-// TestANodeThatServesNobodyFollowsNoReplicas: what a node costs the store goes by its requests, at 1,000 and
-// at 10,000 replicas. When each node followed the list it read all replicas and all changes.
+// TestANodeThatServesNobodyFollowsNoReplicas checks that the load on the store depends on a node's requests and
+// not on the number of replicas.
 func TestANodeThatServesNobodyFollowsNoReplicas(t *testing.T) {
 	for _, replicas := range []int{1_000, 10_000} {
 		d := newLargeDeployment(t, replicas)
 		d.run(time.Second)
 		if d.read != recordwatch.LargeTable {
-			t.Errorf("%d replicas: %d records were read at the start, should be those of one call", replicas, d.read)
+			t.Errorf("%d replicas: %d records read at startup, want those of one call", replicas, d.read)
 		}
 		d.read = 0
 		for number := range 200 {
@@ -172,19 +171,19 @@
 			d.run(50 * time.Millisecond)
 		}
 		if d.read != 0 || !d.node.Ready(d.now) {
-			t.Errorf("%d replicas: a node that serves nobody read %d records; ready %t", replicas, d.read, d.node.Ready(d.now))
+			t.Errorf("%d replicas: idle node read %d records, ready %t", replicas, d.read, d.node.Ready(d.now))
 		}
 		if d.serve() == "" {
 			t.Errorf("%d replicas: no replica for a request", replicas)
 		}
 		if known := d.node.endpoints.Len(); d.read > 2*recordwatch.LargeTable || known != d.read {
-			t.Errorf("%d replicas: %d records were read for a request, %d replicas are known", replicas, d.read, known)
+			t.Errorf("%d replicas: %d records read for a request, %d replicas known", replicas, d.read, known)
 		}
 	}
 }
 
-// TestARestedNodeSendsToNoReplicaThatLeft: what changed while a node followed nothing is known before it
-// sends.
+// TestARestedNodeSendsToNoReplicaThatLeft checks that a node that stopped following the list learns of changes
+// before it sends a request.
 func TestARestedNodeSendsToNoReplicaThatLeft(t *testing.T) {
 	const replicas = 2_000
 	d := newLargeDeployment(t, replicas)
@@ -207,15 +206,15 @@
 			}
 		}
 		if slices.Contains(draining, chosen) {
-			t.Fatalf("a request goes to %s, which left; the first one went to %s", chosen, first)
+			t.Fatalf("request sent to %s, which is draining; the first one went to %s", chosen, first)
 		}
 	}
-	t.Error("all of the callers' replicas were made to leave, and one was found")
+	t.Error("a replica was found although all replicas of the service are draining")
 }
 
-// TestRestedNodesFindTheirReplicasAgain: a node goes to the replicas that it knew, to which connections may
-// be open, and to others than its neighbour.
-func TestRestedNodesFindTheirReplicasAgain(t *testing.T) {
+// TestListOriginIsStable checks that a node reads the same part of the list again, to reuse open
+// connections.
+func TestListOriginIsStable(t *testing.T) {
 	d := newLargeDeployment(t, 5_000)
 	d.run(time.Second)
 	d.serve()
@@ -223,45 +222,45 @@
 	for range 5 {
 		d.run(10 * time.Second)
 		if d.node.Ready(d.now); d.node.replicas.Follows(recordwatch.Part) {
-			t.Fatal("the list is followed ten seconds behind a request")
+			t.Fatal("list still followed ten seconds after a request")
 		}
 		d.serve()
 		if got := d.node.listOrigin(); got != origin {
-			t.Fatalf("replicas are read from %s on, were from %s", got, origin)
+			t.Fatalf("replicas are read from %s on, want %s", got, origin)
 		}
 	}
 }
 
-// TestAStoreThatIsAwayHoldsNoRequest: requests go to replicas that were known before.
+// TestAStoreThatIsAwayHoldsNoRequest checks that requests go to known replicas while the store is unavailable.
 func TestAStoreThatIsAwayHoldsNoRequest(t *testing.T) {
 	d := newLargeDeployment(t, 2_000)
 	d.run(time.Second)
 	d.serve()
 	d.run(10 * time.Second)
-	d.away = true
+	d.storeDown = true
 	d.run(2 * time.Second)
 	if d.node.BeginRequest(d.now, callersRoute) {
-		t.Error("a request waits for a store that is known to be away")
+		t.Error("request waits although the store is known to be down")
 	}
 	if d.node.Choose(d.now, callersRoute, "", "", nil) == nil {
-		t.Error("no replica while the store is away")
+		t.Error("no replica while the store is down")
 	}
 	d.node.EndRequest(d.now)
-	d.away = false
+	d.storeDown = false
 	d.run(10 * time.Second)
 	if d.serve() == "" {
-		t.Error("no replica behind the store's return")
+		t.Error("no replica after the store has recovered")
 	}
 }
 
-// TestRequestsThatFindNoFreeSlotReadOn: a part of the list is enough while its replicas are. Each time that
-// all known ones are full more are read, up to the whole list.
+// TestRequestsThatFindNoFreeSlotReadOn checks that more replicas are read whenever all known ones are full, up to
+// the whole list.
 func TestRequestsThatFindNoFreeSlotReadOn(t *testing.T) {
 	const replicas = 2_000
 	d := newLargeDeployment(t, replicas)
 	d.serve()
 	known := d.node.endpoints.Len()
-	for !d.node.listsAll() {
+	for !d.node.knowsAllReplicas() {
 		for _, e := range d.node.endpoints.Service(callersRoute.Backends[0].Service) {
 			e.InFlight = e.Slots
 		}
@@ -272,19 +271,19 @@
 		d.run(100 * time.Millisecond)
 		more := d.node.endpoints.Len()
 		if more <= known || known < replicas/4 && more > 4*known {
-			t.Fatalf("%d of %d replicas are known once all %d known ones are full", more, replicas, known)
+			t.Fatalf("%d of %d replicas known after all %d known ones were full", more, replicas, known)
 		}
 		known = more
 		d.node.EndRequest(d.now)
 	}
 	if known != replicas {
-		t.Errorf("%d of %d replicas are the whole list", known, replicas)
+		t.Errorf("%d of %d replicas known after reading the whole list", known, replicas)
 	}
 }
 
-// TestAnotherServiceIsReadWhenAskedFor: what is known serves one service; a request of another one gets its
-// replicas read, and so does one that has failed at all that are known.
-func TestAnotherServiceIsReadWhenAskedFor(t *testing.T) {
+// TestReplicasOfAnotherServiceAreRead checks that replicas of another service are read on request, and that
+// further ones are read when all known ones have failed.
+func TestReplicasOfAnotherServiceAreRead(t *testing.T) {
 	d := newLargeDeployment(t, 2_000)
 	for number := range 5 {
 		one := port.ReplicaRecord{ID: fmt.Sprintf("9%04dz", number), Service: "rare", Address: fmt.Sprint("rare-", number), Slots: 4}
@@ -310,6 +309,6 @@
 		failed[chosen.ID] = true
 	}
 	if d.node.Choose(d.now, rare, "", "", failed) != nil {
-		t.Error("a sixth of five replicas")
+		t.Error("a sixth replica was chosen out of five")
 	}
 }
--- a/internal/process/cluster/senders.go
+++ b/internal/process/cluster/senders.go
@@ -10,74 +10,73 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// sender returns what part of an endpoint's token bucket this node has. Callers' requests are many
-// nodes' at all times, so that no part of theirs is known.
+// sender returns this node's share of an endpoint's token bucket. Callers' requests may come from any
+// number of nodes, so their share is not computed.
 func (n *Node) sender(now time.Time, e *endpoint.Endpoint, items bool) coldstart.Sender {
 	switch {
 	case !items:
 		return coldstart.Sender{Share: 1}
-	case n.lonely(now):
+	case n.isolated(now):
 		return coldstart.Sender{Items: true}
 	}
-	return coldstart.Sender{Items: true, Share: n.senders(now, e)}
+	return coldstart.Sender{Items: true, Share: n.countSenders(now, e)}
 }
 
-// lonely reports whether this node can't know who else sends: its view is not confirmed, or is so only
-// since less than returnedFor. When the store comes back, many nodes take jobs over before any has heard of
-// the others.
-func (n *Node) lonely(now time.Time) bool {
-	if !n.inTouch(now) {
-		n.cold.outOfTouchAt = now
+// isolated reports whether this node cannot know which other nodes send items: its view is stale, or was
+// confirmed less than reconnectPeriod ago. After an outage many nodes take over jobs before they learn of
+// each other.
+func (n *Node) isolated(now time.Time) bool {
+	if !n.viewConfirmed(now) {
+		n.cold.staleAt = now
 	}
-	return !n.cold.outOfTouchAt.IsZero() && now.Sub(n.cold.outOfTouchAt) < returnedFor
+	return !n.cold.staleAt.IsZero() && now.Sub(n.cold.staleAt) < reconnectPeriod
 }
 
-// inTouch reports whether this node's view of replicas and of the owners of jobs is confirmed.
-func (n *Node) inTouch(now time.Time) bool {
-	return now.Sub(n.observed(now)) < ownersKnownFor && n.DiscoveryAge(now) < unconfirmedAfter
+// viewConfirmed reports whether the node's view of replicas and job owners is recent.
+func (n *Node) viewConfirmed(now time.Time) bool {
+	return now.Sub(n.sharedObservedUntil(now)) < maxOwnersAge && n.DiscoveryAge(now) < maxDiscoveryAge
 }
 
-// senders counts the nodes that send items to an endpoint, this one included: the owners of open jobs
-// whose model it has, not too old. While this node is new among them, each of these jobs counts as
-// another node's, and one more that is not heard of yet: after an outage many change their owners at
-// the same moment.
-func (n *Node) senders(now time.Time, e *endpoint.Endpoint) int {
-	n.countOwners(now)
+// countSenders counts the nodes that send items to an endpoint, including this one: the owners of open jobs
+// whose model it serves in a sufficient version. While this node is a new owner, each of these jobs and one
+// unknown job count as separate nodes, since many jobs change owners at once after an outage.
+func (n *Node) countSenders(now time.Time, e *endpoint.Endpoint) int {
+	n.refreshOwners(now)
 	nodes, jobs, last := 1, 0, n.options.Name
 	for _, owner := range n.cold.owners {
 		if len(e.Versions) > 0 && e.Versions[owner.Model] < max(owner.MinVersion, 1) {
 			continue
 		}
 		jobs++
-		// Owners are in the order of their names.
+		// Owners are sorted by name.
 		if owner.Name != last && owner.Name != n.options.Name && owner.Name != "" {
 			nodes++
 			last = owner.Name
 		}
 	}
-	if n.cold.owningSince.IsZero() || now.Sub(n.cold.owningSince) < newcomerFor {
+	if n.cold.ownerSince.IsZero() || now.Sub(n.cold.ownerSince) < newOwnerPeriod {
 		return max(nodes, jobs+1, 2)
 	}
 	return nodes
 }
 
-// countOwners takes the owners of open jobs anew, now and then.
-func (n *Node) countOwners(now time.Time) {
+// refreshOwners updates the owners of open jobs periodically.
+func (n *Node) refreshOwners(now time.Time) {
 	c := &n.cold
-	if !c.ownersAt.IsZero() && now.Sub(c.ownersAt) < ownersEvery {
+	if !c.ownersAt.IsZero() && now.Sub(c.ownersAt) < ownersInterval {
 		return
 	}
 	c.ownersAt = now
 	for _, owner := range n.jobs.Owners() {
-		c.seen[owner] = now
+		c.lastSeen[owner] = now
 	}
-	maps.DeleteFunc(c.seen, func(_ batch.Owner, at time.Time) bool { return now.Sub(at) > boundSpan })
-	c.owners = slices.SortedFunc(maps.Keys(c.seen), batch.CompareOwners)
+	maps.DeleteFunc(c.lastSeen, func(_ batch.Owner, at time.Time) bool { return now.Sub(at) > rateWindow })
+	c.owners = slices.SortedFunc(maps.Keys(c.lastSeen), batch.CompareOwners)
 	owning := slices.ContainsFunc(c.owners, func(owner batch.Owner) bool { return owner.Name == n.options.Name })
 	switch {
 	case !owning:
-		c.owningSince = time.Time{}
-	case c.owningSince.IsZero():
-		c.owningSince = now
+		c.ownerSince = time.Time{}
+	case c.ownerSince.IsZero():
+		c.ownerSince = now
 	}
 }
--- a/internal/process/cluster/standing.go
+++ b/internal/process/cluster/standing.go
@@ -6,25 +6,25 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// slowShare is the part of a core below which a node leaves jobs to others: the streams of 208 items, and the
-// list of 10,000 replicas, take a node of 0.192 of a core longer than the items' steps have to spare.
-const slowShare = 0.5
+// minProcessorShare is the fraction of a core below which a node leaves jobs to others, as it cannot process
+// the events of a large job or a large list of replicas in time.
+const minProcessorShare = 0.5
 
-// standing returns how fit this node is to run one more job.
+// standing returns how suitable this node is to run another job.
 func (n *Node) standing(now time.Time) batch.Standing {
 	share := n.options.ProcessorShare
 	switch {
-	case share > 0 && share < slowShare:
+	case share > 0 && share < minProcessorShare:
 		return batch.Slow
 	case !n.listIsLarge():
 		return batch.Usual
-	case n.listsAll() && n.jobs.Owned() == 0 && !n.leads(now):
+	case n.knowsAllReplicas() && n.jobs.Owned() == 0 && !n.holdsReplicaLease(now):
 		return batch.Ready
 	}
 	return batch.Unready
 }
 
-// listIsLarge reports whether there are more replicas than nodes follow without use for them.
+// listIsLarge reports whether the list of replicas is large enough to be followed only on demand.
 func (n *Node) listIsLarge() bool {
-	return !n.listsAll() || n.endpoints.Len() >= n.options.largeList()
+	return !n.knowsAllReplicas() || n.endpoints.Len() >= n.options.largeListSize()
 }
--- a/internal/process/cluster/status.go
+++ b/internal/process/cluster/status.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// StatusTable holds what nodes tell of themselves: for operators, for the count of nodes, and for the
-	// clock by which windows of usage are told.
+	// StatusTable holds the status records of nodes. Operators, the node count and the usage clock read it.
 	StatusTable = "nodes"
-	// statusEvery paces it: 390 nodes make 20 writes a second, of the 800 that the
-	// smallest store bears.
-	statusEvery = 20 * time.Second
-	// firstStatus is the first one's age at the most; nodes that start together spread.
-	firstStatus = 5 * time.Second
-	// statusRetry is the mean pause before the next try, or before news of the wall clock are told, longer by
-	// statusRetryEach for each node: nodes that lose the store lose it together.
-	statusRetry     = 500 * time.Millisecond
-	statusRetryEach = 10 * time.Millisecond
-	// wallNews is by how much the wall clock must be off what was told of it to be told anew: twice the most
-	// that the reading of the store's clock may be off.
-	wallNews = knownWell
+	// statusInterval is the time between two status writes, sized so that hundreds of nodes stay well
+	// below the store's write limit.
+	statusInterval = 20 * time.Second
+	// maxFirstStatusDelay bounds the random delay of the first write, which spreads nodes that start
+	// together.
+	maxFirstStatusDelay = 5 * time.Second
+	// statusRetry is the mean delay before a retry or an update of the wall clock offset. It grows by
+	// statusRetryPerNode for each node, as all nodes tend to lose the store at the same time.
+	statusRetry        = 500 * time.Millisecond
+	statusRetryPerNode = 10 * time.Millisecond
+	// wallOffsetTolerance is the change of the wall clock offset that triggers an update. It is twice the
+	// maximum error of the store clock estimate.
+	wallOffsetTolerance = maxClockUncertainty
 )
 
-// StatusKey names a node's status record.
+// StatusKey returns the key of a node's status record.
 func StatusKey(node string) port.RecordKey {
 	return port.RecordKey{Table: StatusTable, Partition: StatusTable, Key: node}
 }
 
-// statusWriter is when this node tells of itself next, and what it last told of its wall clock.
+// statusWriter schedules the node's status writes.
 type statusWriter struct {
 	nextAt time.Time
-	// offset is the wall clock's to the store's as the store has it, 0 for none; newsAt is from when on it may be
-	// told anew, zero until it was told of once.
-	offset time.Duration
-	newsAt time.Time
-	busy   bool
+	// offset is the last stored offset of the wall clock to the store's clock, 0 for none. It may be
+	// updated from offsetUpdateAt on, which is zero until the first write has ended.
+	offset         time.Duration
+	offsetUpdateAt time.Time
+	busy           bool
 }
 
-// tickStatus tells of this node now and then, and of its wall clock once that has jumped. The write has no
-// condition: an old one that takes effect late is replaced by the next.
+// tickStatus writes the status periodically and when the wall clock has jumped. The write has no
+// precondition: the next one replaces a write that takes effect late.
 func (n *Node) tickStatus(now time.Time) {
 	if n.status.nextAt.IsZero() {
-		n.status.nextAt = now.Add(time.Duration(n.random.Int64N(int64(firstStatus))))
+		n.status.nextAt = now.Add(time.Duration(n.random.Int64N(int64(maxFirstStatusDelay))))
 	}
-	if n.Stopping() || n.status.busy || now.Before(n.status.nextAt) && !n.wallHasNews(now) {
+	if n.Stopping() || n.status.busy || now.Before(n.status.nextAt) && !n.wallOffsetChanged(now) {
 		return
 	}
 	if !n.shared.Healthy() {
-		n.status.nextAt = now.Add(n.statusPause())
+		n.status.nextAt = now.Add(n.statusRetryDelay())
 		return
 	}
 	n.status.busy = true
-	n.status.nextAt = now.Add(statusEvery)
+	n.status.nextAt = now.Add(statusInterval)
 	offset, _ := n.wallOffset(now)
 	n.queue.Add(task.Commit{
 		Transaction: port.RecordTransaction{Puts: []port.Record{{RecordKey: StatusKey(n.options.Name), Value: n.encodeStatus(now, offset)}}},
 		Done: func(now time.Time, result port.RecordResult) {
 			n.status.busy = false
-			n.status.newsAt = now.Add(n.statusPause())
+			n.status.offsetUpdateAt = now.Add(n.statusRetryDelay())
 			if result.Status == port.RecordDone {
 				n.status.offset = offset
 				return
 			}
-			n.status.nextAt = n.status.newsAt
+			n.status.nextAt = n.status.offsetUpdateAt
 		},
 	})
 }
@@ -85,38 +85,38 @@
 	}
 	value, err := proto.Marshal(status)
 	if err != nil {
-		panic("a status must encode: " + err.Error())
+		panic("marshal node status: " + err.Error())
 	}
 	return value
 }
 
-// wallOffset returns the offset of this node's wall clock to the store's clock, false while that is not known
-// well.
+// wallOffset returns the offset of the wall clock to the store's clock, false while that clock is not
+// known precisely enough.
 func (n *Node) wallOffset(now time.Time) (time.Duration, bool) {
-	reading, known := n.clock.reading(now)
+	reading, known := n.clock.estimate(now)
 	if !known {
 		return 0, false
 	}
 	return time.Duration(n.wallClock(now).UnixMilli())*time.Millisecond - reading.Truncate(time.Millisecond), true
 }
 
-// wallHasNews reports whether the wall clock is to be told anew. Before the first status nothing is news: nodes
-// that start together spread.
-func (n *Node) wallHasNews(now time.Time) bool {
-	if n.status.newsAt.IsZero() || now.Before(n.status.newsAt) {
+// wallOffsetChanged reports whether the stored wall clock offset needs an update. It is false before the
+// first status, so that nodes that start together stay spread.
+func (n *Node) wallOffsetChanged(now time.Time) bool {
+	if n.status.offsetUpdateAt.IsZero() || now.Before(n.status.offsetUpdateAt) {
 		return false
 	}
 	offset, known := n.wallOffset(now)
-	return known && (offset-n.status.offset).Abs() > wallNews
+	return known && (offset-n.status.offset).Abs() > wallOffsetTolerance
 }
 
-// statusPause returns the pause before the next try, from half of its mean to one and a half.
-func (n *Node) statusPause() time.Duration {
-	pause := statusRetry + time.Duration(n.Nodes())*statusRetryEach
+// statusRetryDelay returns a random delay between half and one and a half times its mean.
+func (n *Node) statusRetryDelay() time.Duration {
+	pause := statusRetry + time.Duration(n.Nodes())*statusRetryPerNode
 	return pause/2 + time.Duration(n.random.Int64N(int64(pause)))
 }
 
-// wallClock returns the time of day at this node.
+// wallClock returns the node's wall clock time.
 func (n *Node) wallClock(now time.Time) time.Time {
 	if n.options.WallAhead == nil {
 		return now
@@ -124,7 +124,7 @@
 	return now.Add(n.options.WallAhead())
 }
 
-// removeStatus drops the record of a node that stops.
+// removeStatus deletes the status record of a stopping node.
 func (n *Node) removeStatus() {
 	n.queue.Add(task.Commit{
 		Transaction: port.RecordTransaction{Deletes: []port.RecordKey{StatusKey(n.options.Name)}},
--- a/internal/process/cluster/status_test.go
+++ b/internal/process/cluster/status_test.go
@@ -7,7 +7,7 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// statusRecord returns the record in which a node tells of itself, none if it hasn't.
+// statusRecord returns the node's status record, a zero one if there is none.
 func (c *coldNode) statusRecord() port.Record {
 	key := StatusKey(c.options.Name)
 	for _, record := range c.store.Range(c.Now, port.RecordRange{Table: key.Table, Partition: key.Partition, From: key.Key, To: key.Key + "\x00"}).Records {
@@ -16,43 +16,43 @@
 	return port.Record{}
 }
 
-// toldOffset returns what a node tells of its wall clock, false if it tells nothing.
-func (c *coldNode) toldOffset() (time.Duration, bool) { return wallOffsetOf(c.statusRecord()) }
+// storedOffset returns the wall clock offset in the node's status record, false if there is none.
+func (c *coldNode) storedOffset() (time.Duration, bool) { return wallOffsetOf(c.statusRecord()) }
 
-// TestAStatusThatGotLostIsToldAgain: all nodes start while the store is away. What they tell of their clocks is
-// needed once it is back; seed 700015 of the simulator set the clock of usage by two of six nodes that had told.
+// TestAStatusThatGotLostIsToldAgain checks that a status is written soon after an outage at startup, as the usage
+// clock depends on the nodes' wall clock offsets. Simulator seed 700015.
 func TestAStatusThatGotLostIsToldAgain(t *testing.T) {
 	n := newColdNode()
-	n.cut = true
-	n.run(2 * firstStatus)
-	n.cut = false
+	n.storeDown = true
+	n.run(2 * maxFirstStatusDelay)
+	n.storeDown = false
 	n.run(3 * time.Second)
-	if _, told := n.toldOffset(); !told {
-		t.Error("3 s after the store's return the node has told nothing of its clock")
+	if _, stored := n.storedOffset(); !stored {
+		t.Error("no wall clock offset stored 3 s after the store has recovered")
 	}
 }
 
-// TestAClockThatJumpsIsToldAtOnce: what a node told of its clock while that was off stood for 20 s.
+// TestAClockThatJumpsIsToldAtOnce checks that a jump of the wall clock is written before the next regular status.
 func TestAClockThatJumpsIsToldAtOnce(t *testing.T) {
 	n := newColdNode()
 	ahead := time.Duration(0)
 	n.options.WallAhead = func() time.Duration { return ahead }
-	n.run(2 * firstStatus)
-	before, told := n.toldOffset()
-	if !told {
-		t.Fatal("the node tells nothing of its clock")
+	n.run(2 * maxFirstStatusDelay)
+	before, stored := n.storedOffset()
+	if !stored {
+		t.Fatal("no wall clock offset stored")
 	}
 	for _, jump := range []time.Duration{2 * time.Second, 0, -3 * time.Second, 0} {
 		ahead = jump
 		n.run(2 * time.Second)
-		got, _ := n.toldOffset()
+		got, _ := n.storedOffset()
 		if off := (got - before - jump).Abs(); off > 50*time.Millisecond {
-			t.Errorf("2 s after its clock went %s ahead the node tells of %s", jump, got-before)
+			t.Errorf("2 s after a wall clock jump of %s the stored offset has changed by %s", jump, got-before)
 		}
 	}
 	written := n.statusRecord().Revision
-	n.run(statusEvery / 2)
+	n.run(statusInterval / 2)
 	if n.statusRecord().Revision != written {
-		t.Error("a clock that stands is told anew")
+		t.Error("status written again although the wall clock has not jumped")
 	}
 }
--- a/internal/process/cluster/unreadable.go
+++ b/internal/process/cluster/unreadable.go
@@ -8,13 +8,12 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// unreadableRecords holds the revisions of the records that could not be read, by table and key, so that
-// the log has one line for each of them and not one for each reading.
+// unreadableRecords holds the revisions of records that could not be decoded, by table and key, so that
+// each one is logged once.
 type unreadableRecords map[string]map[string]int64
 
-// note logs the records of a change that could not be read and were not told of before. A whole reading
-// names all of the table that stand.
-func (u unreadableRecords) note(queue *task.Queue, table string, records []port.UnreadableRecord, whole bool) {
+// logNew logs the unreadable records that were not logged before. A full read lists all of the table.
+func (u unreadableRecords) logNew(queue *task.Queue, table string, records []port.UnreadableRecord, whole bool) {
 	before := u[table]
 	if before == nil || whole {
 		u[table] = make(map[string]int64, len(records))
@@ -27,7 +26,7 @@
 	}
 }
 
-// unreadable reports whether a record is among those that could not be read.
+// unreadable reports whether a record could not be decoded.
 func unreadable(records []port.UnreadableRecord, key string) bool {
 	return slices.ContainsFunc(records, func(one port.UnreadableRecord) bool { return one.Key == key })
 }
--- a/internal/process/cluster/unreadable_test.go
+++ b/internal/process/cluster/unreadable_test.go
@@ -10,10 +10,10 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// strangeDecoder takes records that begin with a question mark for those of other writers.
-type strangeDecoder struct{ replicaDecoder }
+// unreadableDecoder reports records whose value starts with a question mark as unreadable.
+type unreadableDecoder struct{ replicaDecoder }
 
-func (d strangeDecoder) DecodeDeployment(records []port.Record) port.Deployment {
+func (d unreadableDecoder) DecodeDeployment(records []port.Record) port.Deployment {
 	var change port.Deployment
 	for _, record := range records {
 		if !strings.HasPrefix(string(record.Value), "?") {
@@ -30,10 +30,10 @@
 	return change
 }
 
-// TestEntryTurnsUnreadable: a replica whose record can't be read any more gets nothing from that moment on,
-// also while the store was away just now, and the log tells it once.
-func TestEntryTurnsUnreadable(t *testing.T) {
-	n := New(start, Options{Name: "n", Topology: port.Topology{Zone: "z"}, Incarnation: 1, Decoder: strangeDecoder{}, OrderPause: time.Second})
+// TestRecordTurnsUnreadable checks that a replica is removed as soon as its record becomes unreadable, even after
+// an outage of the store, and that this is logged once.
+func TestRecordTurnsUnreadable(t *testing.T) {
+	n := New(start, Options{Name: "n", Topology: port.Topology{Zone: "z"}, Incarnation: 1, Decoder: unreadableDecoder{}, OrderPause: time.Second})
 	record := func(value string, revision int64) []port.Record {
 		return []port.Record{{RecordKey: port.RecordKey{Table: "replicas", Key: "r"}, Value: []byte(value), Revision: revision}}
 	}
@@ -54,24 +54,24 @@
 		}
 	}
 	if lines != 1 {
-		t.Errorf("%d lines tell of it, should be one", lines)
+		t.Errorf("%d log lines, want 1", lines)
 	}
 	n.onDeployment(start, "replicas", record("sound", 3), false)
 	if n.endpoints.Find("r") == nil {
-		t.Error("the replica did not come back with a sound record")
+		t.Error("replica not added again with a readable record")
 	}
 }
 
-// TestRemovalOfAFormerLife: a removal that is older than the record leaves the replica, one without a revision
-// takes it out.
-func TestRemovalOfAFormerLife(t *testing.T) {
+// TestStaleRemovalIsIgnored checks that a removal older than the record is ignored, and that one without a revision
+// is not.
+func TestStaleRemovalIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		revision int64
 		kept     bool
 	}{{4, true}, {6, false}, {0, false}} {
 		n := newNode()
 		n.putReplica(start, n.endpoints.Put(port.ReplicaRecord{ID: "r", Service: "s", Revision: 5}))
-		n.removeGone(start, port.GoneReplica{ID: "r", Revision: c.revision}, false)
+		n.onReplicaGone(start, port.GoneReplica{ID: "r", Revision: c.revision}, false)
 		if kept := n.endpoints.Find("r") != nil; kept != c.kept {
 			t.Errorf("kept %t after a removal at revision %d", kept, c.revision)
 		}
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -14,40 +14,39 @@
 	"github.com/doorstep/doorstep/internal/version/configuration"
 )
 
-// Paces of the watches. Reads of the store are a budget that all nodes share: the tables
-// that change often yield to the one that tells of the configuration.
+// Timings of the watches. All nodes share the store's read budget, so tables that change often are polled
+// less eagerly than the configuration.
 const (
-	// configurationWait is short, so that a silent store is noticed within the bound of
-	// a configuration; the others are held longer.
-	configurationWait = 800 * time.Millisecond
-	usualWait         = 1600 * time.Millisecond
-	// replicaGather and sharedGather are the pauses in which changes gather, the others
-	// bound them under refusals: a leaving replica must be known within its bound, and a
-	// silent owner be noticed soon.
-	replicaGather     = 20 * time.Millisecond
-	mostReplicaGather = 800 * time.Millisecond
-	sharedGather      = 40 * time.Millisecond
-	mostSharedGather  = 1200 * time.Millisecond
-	// Whole reads look for changes that a watch missed.
-	configurationReread = 4 * time.Second
-	replicaReread       = 8 * time.Second
-	sharedReread        = 16 * time.Second
+	// configurationWatchTimeout is short, so that an unresponsive store is detected before the
+	// configuration becomes stale.
+	configurationWatchTimeout = 800 * time.Millisecond
+	defaultWatchTimeout       = 1600 * time.Millisecond
+	// Changes are batched for the first delay of each pair, and for up to the second one while the store
+	// refuses calls. Draining replicas and unresponsive job owners must be noticed within their bounds.
+	replicaBatchDelay    = 20 * time.Millisecond
+	maxReplicaBatchDelay = 800 * time.Millisecond
+	sharedBatchDelay     = 40 * time.Millisecond
+	maxSharedBatchDelay  = 1200 * time.Millisecond
+	// Periodic full reads find changes that a watch missed.
+	configurationResyncInterval = 4 * time.Second
+	replicaResyncInterval       = 8 * time.Second
+	sharedResyncInterval        = 16 * time.Second
 )
 
 func (n *Node) watchTables() {
 	for _, table := range n.options.Decoder.DeploymentTables() {
 		options := recordwatch.Options{
-			Table: table, Partitions: []string{""}, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeDistance(),
-			Wait: configurationWait, Reread: configurationReread,
+			Table: table, Partitions: []string{""}, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeLatency(),
+			Wait: configurationWatchTimeout, Reread: configurationResyncInterval,
 			OnList:   func(now time.Time, records []port.Record) { n.onDeployment(now, table, records, true) },
 			OnChange: func(now time.Time, records []port.Record) { n.onDeployment(now, table, records, false) },
 			OnHealth: n.onStoreHealth,
 		}
-		if n.listsReplicas(table) {
-			options.Wait, options.Reread = usualWait, replicaReread
-			options.Gather, options.MostGather = replicaGather, mostReplicaGather
+		if n.isReplicaTable(table) {
+			options.Wait, options.Reread = defaultWatchTimeout, replicaResyncInterval
+			options.Gather, options.MostGather = replicaBatchDelay, maxReplicaBatchDelay
 			options.OnHealth = n.onReplicaHealth
-			options.Relaxed = n.relaxed
+			options.Relaxed = n.idle
 			options.Partial = n.partialList(table)
 		}
 		n.watches = append(n.watches, recordwatch.New(options))
@@ -58,34 +57,34 @@
 		partitions = append(partitions, batch.PartitionName(number))
 	}
 	n.shared = recordwatch.New(recordwatch.Options{
-		Table: port.SharedTable, Partitions: partitions, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeDistance(),
-		Wait: usualWait, Reread: sharedReread, Gather: sharedGather, MostGather: mostSharedGather,
+		Table: port.SharedTable, Partitions: partitions, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeLatency(),
+		Wait: defaultWatchTimeout, Reread: sharedResyncInterval, Gather: sharedBatchDelay, MostGather: maxSharedBatchDelay,
 		OnList: n.onSharedList, OnChange: n.onShared, OnHealth: n.onSharedHealth,
-		Relaxed: n.unhurried,
+		Relaxed: n.toleratesDelay,
 	})
 	n.watches = append(n.watches, n.shared)
 }
 
-// relaxed reports whether this node runs nothing that waits for changes of the tables: it owns no job and
-// orders no versions. That is true of nearly all nodes of a large deployment.
-func (n *Node) relaxed(now time.Time) bool { return n.jobs.Owned() == 0 && !n.lease.Held(now) }
+// idle reports whether nothing on this node depends on prompt updates: it owns no job and orders no
+// versions. This holds for most nodes of a large deployment.
+func (n *Node) idle(now time.Time) bool { return n.jobs.Owned() == 0 && !n.lease.Held(now) }
 
-// unhurried reports whether this node need not hear of jobs within moments: it is relaxed, holds no caller
-// that waits for one, and is not ready to take the next.
-func (n *Node) unhurried(now time.Time) bool {
-	return n.relaxed(now) && n.readers == 0 && n.standing(now) != batch.Ready
+// toleratesDelay reports whether updates of jobs may arrive late: the node is idle, no caller waits for a
+// job, and the node is not first in line for the next one.
+func (n *Node) toleratesDelay(now time.Time) bool {
+	return n.idle(now) && n.jobWaiters == 0 && n.standing(now) != batch.Ready
 }
 
-// BeginReading notes that a caller waits for a change of a job, until EndReading is called.
+// BeginReading registers a caller that waits for a job to change, until EndReading is called.
 func (n *Node) BeginReading(now time.Time) {
-	n.readers++
+	n.jobWaiters++
 	n.shared.Hasten(now)
 }
 
-// EndReading ends a wait that BeginReading began.
-func (n *Node) EndReading() { n.readers-- }
+// EndReading unregisters a caller registered by BeginReading.
+func (n *Node) EndReading() { n.jobWaiters-- }
 
-// onSharedHealth notes that the watch of the shared table broke or is whole again.
+// onSharedHealth handles a failure or recovery of the watch of the shared table.
 func (n *Node) onSharedHealth(now time.Time, healthy bool) {
 	n.jobs.Observing(now, healthy)
 	for _, lease := range n.sortedLeases() {
@@ -93,18 +92,18 @@
 	}
 }
 
-// onSharedList takes all records that all nodes share.
+// onSharedList handles a full read of the shared table.
 func (n *Node) onSharedList(now time.Time, records []port.Record) {
 	n.onShared(now, records)
 	n.quarantine.OnList(records)
 }
 
-// onShared takes records that all nodes share.
+// onShared dispatches records of the shared table by partition.
 func (n *Node) onShared(now time.Time, records []port.Record) {
 	for _, record := range records {
 		switch record.Partition {
 		case configuration.Partition:
-			n.onOperators(now, record)
+			n.onOperatorConfig(now, record)
 		case LeasePartition:
 			n.onLeaseRecord(now, record)
 		case quarantine.Partition:
@@ -117,28 +116,28 @@
 
 func (n *Node) onDeployment(now time.Time, table string, records []port.Record, whole bool) {
 	change := n.options.Decoder.DecodeDeployment(records)
-	n.unreadable.note(n.queue, table, change.Unreadable, whole)
+	n.unreadable.logNew(n.queue, table, change.Unreadable, whole)
 	if change.Routes != nil {
-		n.apply(now, change.Routes)
+		n.applyRoutes(now, change.Routes)
 	}
-	if n.tellsConfiguration(table) {
+	if n.isConfigurationTable(table) {
 		n.onEvacuations(now, change.Evacuations, whole)
 	}
 	for _, target := range change.Targets {
 		n.rollout.Name(target)
 	}
-	silent := whole && len(change.Replicas) > mostAddedLines
+	silent := whole && len(change.Replicas) > maxAddedLogLines
 	listed := n.putReplicas(now, change.Replicas, silent)
 	if silent {
-		n.tellListed(len(change.Replicas))
+		n.logListed(len(change.Replicas))
 	}
-	if whole && n.listsReplicas(table) {
+	if whole && n.isReplicaTable(table) {
 		n.queue.Add(task.ReplicasKnown{})
 	}
 	for _, gone := range change.Gone {
-		n.removeGone(now, gone, unreadable(change.Unreadable, gone.ID))
+		n.onReplicaGone(now, gone, unreadable(change.Unreadable, gone.ID))
 	}
-	if whole && n.listsReplicas(table) {
+	if whole && n.isReplicaTable(table) {
 		for _, e := range n.endpoints.All() {
 			if !listed[e.ID] {
 				n.removeReplica(now, e.ID)
@@ -147,27 +146,26 @@
 	}
 }
 
-// mostAddedLines is from how many replicas on a whole reading logs one line for all: a line each is ten
-// thousand at the start of each node of a large fleet, of which its ring of lines takes a thousand.
-const mostAddedLines = 500
+// maxAddedLogLines is the number of replicas above which a full read logs one summary line instead of
+// a line for each replica, which would flush the ring buffer of log lines.
+const maxAddedLogLines = 500
 
-// listsReplicas reports whether a table holds the replicas, by its place among the
-// tables of the deployment.
-func (n *Node) listsReplicas(table string) bool {
+// isReplicaTable reports whether a table holds the replicas, which is the last deployment table.
+func (n *Node) isReplicaTable(table string) bool {
 	tables := n.options.Decoder.DeploymentTables()
 	return table == tables[len(tables)-1]
 }
 
-func (n *Node) noteReplica(now time.Time, change endpoint.Change) {
+func (n *Node) onReplicaChange(now time.Time, change endpoint.Change) {
 	if change.Endpoint == nil {
 		return
 	}
 	one := change.Endpoint
 	if change.Former != nil {
-		n.noteReplica(now, endpoint.Change{Endpoint: change.Former, Removed: true})
+		n.onReplicaChange(now, endpoint.Change{Endpoint: change.Former, Removed: true})
 	}
 	switch {
-	case change.Added && n.silentAdds:
+	case change.Added && n.suppressAddLogs:
 	case change.Added:
 		n.queue.Log(event.ReplicaAdded, "replica", one.ID, "service", one.Service, "address", one.Address, "zone", one.Zone,
 			"versions", fmt.Sprint(one.Versions), "leaving", one.Draining, "restarted", change.Former != nil)
--- a/internal/process/cluster/workingset.go
+++ b/internal/process/cluster/workingset.go
@@ -9,32 +9,29 @@
 )
 
 const (
-	// spareSlots is by how much the slots of a model's replicas exceed the items of its jobs that may run
-	// at once: one replica in five may be lost, or lie in an evacuated zone. Each one more is loaded at
-	// every second version, at the price of two connections and an order.
-	spareSlots = 1.25
-	// leastReplicas is how many replicas a model has at the least, also while nothing is known of its
-	// jobs: more than the six below which replicas follow all models.
-	leastReplicas = 12
-	// needsEvery paces the look at the jobs for what models need.
-	needsEvery = time.Second
+	// slotHeadroom is the ratio of a model's slots to its concurrently running items. It tolerates the
+	// loss of one replica in five, or an evacuated zone.
+	slotHeadroom = 1.25
+	// minReplicas is the minimum number of replicas of a model, also used while nothing is known of its jobs.
+	// It exceeds the threshold of six below which replicas load all models.
+	minReplicas = 12
+	// needsInterval is the time between two updates of the models' needs.
+	needsInterval = time.Second
 )
 
-// modelNeeds is what models need of a service, as of takenAt.
+// modelNeeds holds the replicas that each model needs, as of computedAt.
 type modelNeeds struct {
-	byModel map[string]endpoint.Need
-	takenAt time.Time
+	byModel    map[string]endpoint.Need
+	computedAt time.Time
 }
 
-// workingSet returns the replicas that are to have the versions of models. In a large service these are as
-// many as the models' items need, whatever its size: 534 for six trainers with 208 items every 4 s
-// (TestWorkingSetGrowsWithTheWork). While all replicas were dealt, half of a sixth of 9,625, or 802, loaded
-// each version.
+// workingSet returns the replicas that should load the versions of models. Its size depends on the
+// models' running items and not on the size of the service.
 func (n *Node) workingSet(now time.Time, models []string) []*endpoint.Endpoint {
 	if n.routes == nil {
 		return nil
 	}
-	n.takeNeeds(now, models)
+	n.refreshNeeds(now, models)
 	var list []*endpoint.Endpoint
 	for _, service := range n.routes.Services() {
 		if pool := n.endpoints.Pool(service.Name); pool != nil {
@@ -44,18 +41,18 @@
 	return list
 }
 
-// takeNeeds takes from the jobs of late what models need, now and then.
-func (n *Node) takeNeeds(now time.Time, models []string) {
+// refreshNeeds recomputes the models' needs if they are out of date or lack a model.
+func (n *Node) refreshNeeds(now time.Time, models []string) {
 	unknown := func(model string) bool { _, known := n.needs.byModel[model]; return !known }
-	if now.Sub(n.needs.takenAt) < needsEvery && !slices.ContainsFunc(models, unknown) {
+	if now.Sub(n.needs.computedAt) < needsInterval && !slices.ContainsFunc(models, unknown) {
 		return
 	}
 	items := n.jobs.ItemsAtOnce(now)
-	n.needs = modelNeeds{byModel: make(map[string]endpoint.Need, len(models)), takenAt: now}
+	n.needs = modelNeeds{byModel: make(map[string]endpoint.Need, len(models)), computedAt: now}
 	for _, model := range models {
-		n.needs.byModel[model] = endpoint.Need{Endpoints: leastReplicas}
+		n.needs.byModel[model] = endpoint.Need{Endpoints: minReplicas}
 	}
 	for model, count := range items {
-		n.needs.byModel[model] = endpoint.Need{Slots: int(math.Ceil(spareSlots * float64(count))), Endpoints: leastReplicas}
+		n.needs.byModel[model] = endpoint.Need{Slots: int(math.Ceil(slotHeadroom * float64(count))), Endpoints: minReplicas}
 	}
 }
--- a/internal/process/cluster/workingset_test.go
+++ b/internal/process/cluster/workingset_test.go
@@ -10,13 +10,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestWorkingSetGrowsWithTheWork: six trainers with a step of 208 items every 4 s have as many replicas of a
-// fleet as of one twice as large; a model of which nothing is known has a few.
+// TestWorkingSetGrowsWithTheWork checks that the working set depends on the running items and not on the size of
+// the fleet, and that a model without known jobs gets the minimum.
 func TestWorkingSetGrowsWithTheWork(t *testing.T) {
 	var sizes []int
 	for _, replicas := range []int{9625, 19250} {
 		n := newNode()
-		n.apply(start, &port.RouteTable{Version: 1, Services: []port.Service{{Name: "s"}}})
+		n.applyRoutes(start, &port.RouteTable{Version: 1, Services: []port.Service{{Name: "s"}}})
 		versions := map[string]int64{"unknown": 1}
 		models := []string{"unknown"}
 		for model := range 6 {
@@ -36,17 +36,17 @@
 		}
 		sizes = append(sizes, len(n.workingSet(start, models)))
 	}
-	// Two steps of 208 items side by side need 87 replicas of 6 slots with a fifth of them to spare.
-	if want := 6*87 + leastReplicas; sizes[0] != want || sizes[1] != want {
-		t.Errorf("%d and %d replicas, should be %d", sizes[0], sizes[1], want)
+	// Two concurrent steps of 208 items need 87 replicas of 6 slots, including the headroom.
+	if want := 6*87 + minReplicas; sizes[0] != want || sizes[1] != want {
+		t.Errorf("%d and %d replicas, want %d", sizes[0], sizes[1], want)
 	}
 }
 
-// TestNeedsAreTakenAnew: a job that is accepted counts a second later, and a model that is named at once.
-func TestNeedsAreTakenAnew(t *testing.T) {
+// TestNeedsAreRefreshed checks that needs are recomputed periodically, and at once for a new model.
+func TestNeedsAreRefreshed(t *testing.T) {
 	n := newNode()
-	n.takeNeeds(start, []string{"m"})
-	n.takeNeeds(start.Add(time.Millisecond), []string{"m", "n"})
+	n.refreshNeeds(start, []string{"m"})
+	n.refreshNeeds(start.Add(time.Millisecond), []string{"m", "n"})
 	if len(n.needs.byModel) != 2 {
 		t.Errorf("%v", n.needs.byModel)
 	}
