--- a/internal/process/coldstart/bucket.go
+++ b/internal/process/coldstart/bucket.go
@@ -7,90 +7,88 @@
 	"golang.org/x/time/rate"
 )
 
-// Sender is who asks to send to a replica.
+// Sender describes the origin of a request to a replica.
 type Sender struct {
-	// Items says that it is for an item of a batch job, not for a caller.
+	// Items is set for items of batch jobs and unset for callers' requests.
 	Items bool
-	// Share is how many nodes send items to the replica: each has its part of the bucket. 0 is for a
-	// node that can't know, as it is out of touch with the store.
+	// Share is the number of nodes that send items to the replica and share its token bucket. 0 means
+	// that this node is isolated from the store and cannot know the number.
 	Share int
 }
 
-// countedFor is the span over which sends count against the bound on any second, with a margin as requests
-// may arrive closer together than they are sent.
-const countedFor = windowLength + 50*time.Millisecond
+// sendWindow is the window of the limit on requests per second. The margin allows for requests that arrive
+// closer together than they were sent.
+const sendWindow = windowLength + 50*time.Millisecond
 
-// allowance bounds what a node sends to a replica that it holds for warm, with no word of the replica. A
-// token bucket bounds what comes in the long run, so that a node which takes jobs over finds room beside the
-// former owner's last second; the count of the last second bounds bursts beyond that.
-type allowance struct {
+// sendLimiter limits a node's requests to a replica that it believes to be warm. A token bucket limits the
+// average rate, so that a node that takes over jobs fits in beside their former owner. A count of the last
+// second limits bursts.
+type sendLimiter struct {
 	bucket *rate.Limiter
 	sent   []time.Time
 }
 
-// fit has the allowance go by one of several shares of a bound.
-func (a *allowance) fit(now time.Time, bound Bound, share int) {
+// configure sets the token bucket for a number of nodes that share the limit.
+func (l *sendLimiter) configure(now time.Time, bound Bound, share int) {
 	burst, refill := bound.bucket(share)
 	switch {
-	case a.bucket == nil:
-		a.bucket = rate.NewLimiter(refill, burst)
-	case a.bucket.Limit() != refill || a.bucket.Burst() != burst:
-		a.bucket.SetLimitAt(now, refill)
-		a.bucket.SetBurstAt(now, burst)
+	case l.bucket == nil:
+		l.bucket = rate.NewLimiter(refill, burst)
+	case l.bucket.Limit() != refill || l.bucket.Burst() != burst:
+		l.bucket.SetLimitAt(now, refill)
+		l.bucket.SetBurstAt(now, burst)
 	}
 }
 
-// allows reports whether one more may be sent of so many in any second.
-func (a *allowance) allows(now time.Time, most int) bool {
-	a.forget(now)
-	return len(a.sent) < most && a.bucket.TokensAt(now) >= 1
+// allows reports whether a request may be sent without exceeding most requests in any second.
+func (l *sendLimiter) allows(now time.Time, most int) bool {
+	l.prune(now)
+	return len(l.sent) < most && l.bucket.TokensAt(now) >= 1
 }
 
-// use notes that one is sent.
-func (a *allowance) use(now time.Time) {
-	a.forget(now)
-	a.sent = append(a.sent, now)
-	if a.bucket != nil {
-		a.bucket.AllowN(now, 1)
+// record accounts for a sent request.
+func (l *sendLimiter) record(now time.Time) {
+	l.prune(now)
+	l.sent = append(l.sent, now)
+	if l.bucket != nil {
+		l.bucket.AllowN(now, 1)
 	}
 }
 
-func (a *allowance) forget(now time.Time) {
-	a.sent = slices.DeleteFunc(a.sent, func(at time.Time) bool { return now.Sub(at) > countedFor })
+func (l *sendLimiter) prune(now time.Time) {
+	l.sent = slices.DeleteFunc(l.sent, func(at time.Time) bool { return now.Sub(at) > sendWindow })
 }
 
-// Allows reports whether a replica's allowance has room for a request.
-//
-// It guards what nobody has heard yet: a replica may have turned cold since its last record, and a node
-// that is cut off hears of nothing.
+// Allows reports whether the replica's rate limit allows a request. It protects replicas that have turned cold
+// without this node's knowledge.
 func (g *Gate) Allows(now time.Time, id, service string, bound Bound, sender Sender) bool {
-	if g.replica(id, service, bound).allowance(now, sender).allows(now, bound.inAnySecond(sender.Share)) {
+	if g.replica(id, service, bound).limiter(now, sender).allows(now, bound.nodeMaxPerSecond(sender.Share)) {
 		return true
 	}
 	g.figures.Held++
 	return false
 }
 
-// Sent notes that a request is sent to a replica. For a cold one it uses up a request of its window.
-// A caller's request counts against the items' allowance as well, so that items make room for it.
+// Sent accounts for a request sent to a replica. A request to a cold replica uses up a grant of its window.
+// Callers' requests also count against the limit of items, so that items make room for them.
 func (g *Gate) Sent(now time.Time, id, service string, bound Bound, sender Sender, cold bool) {
 	r := g.replica(id, service, bound)
-	r.allowance(now, sender).use(now)
+	r.limiter(now, sender).record(now)
 	if !sender.Items {
-		r.items.use(now)
+		r.items.record(now)
 	}
 	if cold {
-		r.window.mine--
+		r.window.granted--
 		g.figures.Sent++
 	}
 }
 
-// allowance returns that of a sender, fitted to its share.
-func (r *replica) allowance(now time.Time, sender Sender) *allowance {
+// limiter returns the sender's limiter, configured for its share.
+func (r *replica) limiter(now time.Time, sender Sender) *sendLimiter {
 	one := &r.callers
 	if sender.Items {
 		one = &r.items
 	}
-	one.fit(now, r.bound, sender.Share)
+	one.configure(now, r.bound, sender.Share)
 	return one
 }
--- a/internal/process/coldstart/claim_test.go
+++ b/internal/process/coldstart/claim_test.go
@@ -9,18 +9,18 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// TestAGoneReplicaIsForgotten: also while a claim of its window is under way. Its ID never comes back, so
-// what is kept for it would be kept for good.
-func TestAGoneReplicaIsForgotten(t *testing.T) {
+// TestRemovedReplicaIsForgotten checks that no state is kept for a removed replica, even if a claim for it is
+// pending.
+func TestRemovedReplicaIsForgotten(t *testing.T) {
 	for name, result := range map[string]port.RecordResult{
 		"done": {Status: port.RecordDone, Revision: 1}, "conflict": {Status: port.RecordConflict}, "refused": {Status: port.RecordRefused},
 	} {
-		gate, queue, _ := exact()
+		gate, queue, _ := newExactGate()
 		now, outcomes := epoch.Add(time.Second), 0
 		gate.Claim(now, "r", "s", bound, 1, func(now time.Time, granted bool) {
 			outcomes++
 			if granted {
-				t.Errorf("%s: a claim of a replica that is gone is granted", name)
+				t.Errorf("%s: claim for a removed replica is granted", name)
 			}
 			gate.Wait(now, "r", bound)
 		})
@@ -29,28 +29,28 @@
 		claim.Done(now, result)
 		for _, one := range queue.Take() {
 			if _, again := one.(task.Commit); again {
-				t.Errorf("%s: a replica that is gone is claimed again", name)
+				t.Errorf("%s: removed replica is claimed again", name)
 			}
 		}
 		if outcomes != 1 || len(gate.replicas) != 0 || gate.claiming != 0 {
-			t.Errorf("%s: %d outcomes, %d replicas kept, %d claims under way", name, outcomes, len(gate.replicas), gate.claiming)
+			t.Errorf("%s: %d outcomes, %d replicas kept, %d claims pending", name, outcomes, len(gate.replicas), gate.claiming)
 		}
 	}
 }
 
-// TestClaimsAreBounded: while as many are under way as may be, only those replicas can be had that are
-// being claimed. Else each caller would try all cold replicas in turn.
+// TestClaimsAreBounded checks that at the limit of pending claims only replicas with a pending claim are
+// claimable.
 func TestClaimsAreBounded(t *testing.T) {
-	gate, queue, _ := exact()
+	gate, queue, _ := newExactGate()
 	now := epoch.Add(time.Second)
-	for i := range claimsAtOnce {
+	for i := range maxConcurrentClaims {
 		gate.Claim(now, fmt.Sprint("r", i), "s", bound, 1, nil)
 	}
 	if !gate.Claimable(now, "r0", bound) || gate.Claimable(now, "another", bound) {
-		t.Error("only what is being claimed may be claimed")
+		t.Error("at the limit only replicas with a pending claim may be claimable")
 	}
 	queue.Take()[0].(task.Commit).Done(now, port.RecordResult{Status: port.RecordRefused})
 	if !gate.Claimable(now, "another", bound) {
-		t.Error("a claim that ended makes room for another")
+		t.Error("no claim possible after a pending one has ended")
 	}
 }
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -1,11 +1,11 @@
-// Package coldstart bounds what replicas that are cold get. For some seconds after a start a replica
-// bears few requests a second and falls over at well above that, whichever nodes send them; and nodes
-// know nothing of one another, nor at once that a replica turned cold.
+// Package coldstart limits the requests sent to cold replicas. For some seconds after its start a replica
+// handles only a low request rate and fails well above it, whichever nodes send the requests. Nodes do not
+// communicate directly and do not learn at once that a replica has turned cold.
 //
-// Two means hold the sum of all nodes below the bound. To a replica that is known to be cold, a request
-// is sent only by a node that took it from the replica's window, a row of the record store that is
-// changed under a condition. What nobody has heard yet is bounded by an allowance for each replica,
-// a token bucket and a count of the last second, by which every node's items of batch jobs go at all times.
+// Two mechanisms keep the total of all nodes within the limit. A request to a replica known to be cold
+// requires a grant from the replica's window, a record that nodes update with compare-and-swap. Replicas
+// not yet known to be cold are protected by a limiter per replica, a token bucket and a count of the last
+// second, that applies to all items of batch jobs at all times.
 package coldstart
 
 import (
@@ -18,44 +18,45 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// Bound is what a service's cold replicas bear.
+// Bound is the request limit of a service's cold replicas.
 type Bound struct {
-	// PerSecond is the rate of requests that a cold replica bears, Most the bound on any second.
+	// PerSecond is the sustained request rate of a cold replica, Most the maximum number of requests in
+	// any second.
 	PerSecond, Most float64
 	// Lasts is how long a replica is cold after its start.
 	Lasts time.Duration
 }
 
-// NewBound returns the bound of a service: in any second overshoot times its rate, and slack more.
+// NewBound returns the limit of a service, which allows overshoot times its rate plus slack in any second.
 func NewBound(cold port.ColdStart, overshoot, slack float64) Bound {
 	return Bound{PerSecond: cold.PerSecond, Most: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
 }
 
-// Worth returns how many requests a window holds. Any second meets two windows at the most, so each
-// holds half of the bound.
+// Worth returns the number of requests that a window grants. Any second overlaps at most two windows, so each
+// grants half of the limit.
 func (b Bound) Worth() int { return int(b.Most / 2) }
 
-// outOfTouch is the burst, and the rate in a second, of a node that may not know who else sends: it
-// is taken off the bucket of the others.
-const outOfTouch = 1
+// isolatedRate is the burst and the rate per second of a node that may not know the other senders. It is
+// reserved from the other nodes' bucket.
+const isolatedRate = 1
 
-// bucket returns the burst and the rate of the token bucket of one of so many nodes, or with a share of
-// 0 of one that does not know how many there are.
+// bucket returns the burst and the rate of one node's token bucket if share nodes send, or of an isolated
+// node if share is 0.
 func (b Bound) bucket(share int) (burst int, refill rate.Limit) {
 	if share == 0 {
-		return outOfTouch, rate.Limit(min(b.PerSecond, outOfTouch))
+		return isolatedRate, rate.Limit(min(b.PerSecond, isolatedRate))
 	}
-	whole := max(math.Floor(b.Most-b.PerSecond)-outOfTouch, 1)
+	whole := max(math.Floor(b.Most-b.PerSecond)-isolatedRate, 1)
 	perSecond := min(b.PerSecond, max(b.Most-whole, 0))
 	return max(int(whole)/share, 1), rate.Limit(perSecond / float64(share))
 }
 
-// inAnySecond returns how many requests one of so many nodes may send in any second.
-func (b Bound) inAnySecond(share int) int {
+// nodeMaxPerSecond returns the maximum number of requests in any second of one node if share nodes send.
+func (b Bound) nodeMaxPerSecond(share int) int {
 	if share == 0 {
-		return outOfTouch
+		return isolatedRate
 	}
-	return max((int(b.Most)-outOfTouch)/share, 1)
+	return max((int(b.Most)-isolatedRate)/share, 1)
 }
 
 // Options configure a Gate.
@@ -63,32 +64,32 @@
 	Self        string
 	Incarnation uint64
 	Queue       *task.Queue
-	// Clock returns the least and the most that the store's steady clock may show; known is
-	// false before the store's first answer.
+	// Clock returns the bounds of the store's monotonic clock; known is false before the store's first
+	// response.
 	Clock func(now time.Time) (least, most time.Duration, known bool)
 }
 
-// Gate is what one node may send to the replicas of services whose cold replicas bear little; it
-// belongs to the node's loop.
+// Gate decides whether one node may send requests to replicas that may be cold. It is used from the node's
+// loop only.
 type Gate struct {
 	options  Options
 	replicas map[string]*replica
-	// claiming counts the claims under way.
-	claiming int
-	figures  Figures
-	collect  collection
+	// claiming counts the pending claims.
+	claiming  int
+	figures   Figures
+	collector collector
 }
 
-// replica is what the gate knows of one incarnation of a replica.
+// replica is the state of one incarnation of a replica.
 type replica struct {
 	id, service string
 	bound       Bound
-	// items and callers are the allowances of the two kinds of requests.
-	items, callers allowance
+	// items and callers limit the two kinds of requests.
+	items, callers sendLimiter
 	window         window
 }
 
-// New returns a gate that knows of no replica.
+// New returns a gate with empty state.
 func New(options Options) *Gate { return &Gate{options: options, replicas: map[string]*replica{}} }
 
 func (g *Gate) replica(id, service string, bound Bound) *replica {
@@ -101,7 +102,7 @@
 	return r
 }
 
-// Forget drops a replica that is gone. One that comes back under its ID finds its window in the store.
+// Forget removes a replica that is gone. Its window stays in the store in case it returns under the same ID.
 func (g *Gate) Forget(now time.Time, id string) {
 	r := g.replicas[id]
 	if r == nil {
@@ -109,16 +110,16 @@
 	}
 	delete(g.replicas, id)
 	if !r.window.claiming {
-		r.fail(now)
+		r.failWaiting(now)
 	}
 }
 
-// Figures count what the gate did.
+// Figures are the gate's statistics.
 type Figures struct {
-	// Granted and Denied count the claims of requests to cold replicas, by outcome; Sent the requests
-	// that were sent to cold ones; Held how often a replica's bucket was found empty.
+	// Granted and Denied count claims by outcome, Sent the requests sent to cold replicas, and Held the
+	// requests rejected by a replica's limiter.
 	Granted, Denied, Sent, Held int
 }
 
-// Figures returns the gate's figures.
+// Figures returns the gate's statistics.
 func (g *Gate) Figures() Figures { return g.figures }
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -19,28 +19,28 @@
 	bound = NewBound(port.ColdStart{Lasts: 8 * time.Second, PerSecond: 9.3}, 1.5, 5)
 )
 
-// many are gates over one store, whose calls take their time and get lost, and whose clocks differ.
-type many struct {
+// gateGroup is a set of gates that share a store. Store calls are delayed or lost, and the gates' clocks differ.
+type gateGroup struct {
 	virtual.Clock
-	random  *rand.Rand
-	store   *model.Records
-	queue   task.Queue
-	gates   []*Gate
-	frozen  []time.Time
-	arrived []time.Time
-	most    int
-	granted int
+	random       *rand.Rand
+	store        *model.Records
+	queue        task.Queue
+	gates        []*Gate
+	frozen       []time.Time
+	arrived      []time.Time
+	maxPerSecond int
+	granted      int
 }
 
-func newMany(seed uint64, gates int) *many {
-	m := &many{Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 1)), frozen: make([]time.Time, gates)}
+func newGateGroup(seed uint64, gates int) *gateGroup {
+	m := &gateGroup{Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 1)), frozen: make([]time.Time, gates)}
 	m.store = model.NewRecords(m.Now, model.RecordsOptions{WritesPerSecond: 800, ReadsPerSecond: 800, History: time.Minute})
-	// Each knows the store's clock with an error of its own: some milliseconds, or up to a second.
+	// Clock error per gate: some milliseconds, or up to a second.
 	doubt := []time.Duration{10 * time.Millisecond, time.Second}[seed%2]
 	for i := range gates {
-		early, late := m.upTo(doubt), m.upTo(doubt)
+		early, late := m.randomDuration(doubt), m.randomDuration(doubt)
 		if i%2 == 1 {
-			late = m.upTo(10 * time.Millisecond)
+			late = m.randomDuration(10 * time.Millisecond)
 		}
 		m.gates = append(m.gates, New(Options{
 			Self: fmt.Sprint("node-", i), Queue: &m.queue,
@@ -53,12 +53,12 @@
 	return m
 }
 
-func (m *many) upTo(longest time.Duration) time.Duration {
+func (m *gateGroup) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(m.random.Int64N(int64(longest)))
 }
 
-// do calls a gate once it is not frozen, and carries its commits out: late, twice as late, or unanswered.
-func (m *many) do(gate int, call func(now time.Time)) {
+// do calls a gate once it is not frozen and executes its commits, which may be delayed or lose their response.
+func (m *gateGroup) do(gate int, call func(now time.Time)) {
 	if m.Now.Before(m.frozen[gate]) {
 		m.After(m.frozen[gate].Sub(m.Now), func() { m.do(gate, call) })
 		return
@@ -69,9 +69,9 @@
 		if !ok {
 			continue
 		}
-		there, back, lost := m.upTo(20*time.Millisecond), m.upTo(20*time.Millisecond), m.random.IntN(10) == 0
+		there, back, lost := m.randomDuration(20*time.Millisecond), m.randomDuration(20*time.Millisecond), m.random.IntN(10) == 0
 		if m.random.IntN(20) == 0 {
-			there = m.upTo(3 * time.Second)
+			there = m.randomDuration(3 * time.Second)
 		}
 		m.After(there, func() {
 			result := m.store.Commit(m.Now, commit.Transaction)
@@ -83,12 +83,12 @@
 	}
 }
 
-// send sends a request that was granted: it is written some time later, or not at all.
-func (m *many) send(gate int, now time.Time) {
+// send sends a granted request after a random delay, unless its deadline has passed by then.
+func (m *gateGroup) send(gate int, now time.Time) {
 	m.granted++
 	by := m.gates[gate].SendBy(now, "r")
 	m.gates[gate].Sent(now, "r", "s", bound, Sender{Share: 1}, true)
-	m.After(m.upTo(30*time.Millisecond), func() {
+	m.After(m.randomDuration(30*time.Millisecond), func() {
 		if m.Now.Before(m.frozen[gate]) {
 			m.After(m.frozen[gate].Sub(m.Now), func() { m.write(by) })
 			return
@@ -97,18 +97,18 @@
 	})
 }
 
-func (m *many) write(by time.Time) {
+func (m *gateGroup) write(by time.Time) {
 	if m.Now.After(by) {
 		return
 	}
 	m.arrived = slices.DeleteFunc(append(m.arrived, m.Now), func(at time.Time) bool { return m.Now.Sub(at) > time.Second })
-	m.most = max(m.most, len(m.arrived))
+	m.maxPerSecond = max(m.maxPerSecond, len(m.arrived))
 }
 
-// play has all gates want requests to one cold replica, for half a minute.
-func (m *many) play() {
+// run lets all gates send requests to one cold replica for half a minute.
+func (m *gateGroup) run() {
 	for i, gate := range m.gates {
-		m.Every(10*time.Millisecond+m.upTo(30*time.Millisecond), func() bool {
+		m.Every(10*time.Millisecond+m.randomDuration(30*time.Millisecond), func() bool {
 			m.do(i, func(now time.Time) {
 				late := i%2 == 1
 				if !late && m.random.IntN(2) == 0 {
@@ -122,18 +122,18 @@
 				if gate.Claimable(now, "r", bound) {
 					gate.Claim(now, "r", "s", bound, 5, nil)
 				}
-				// Some send at once, the others at the end of the window, and may stand still then.
+				// Some gates send at once. Others send at the end of the window and may be frozen after that.
 				sent := false
-				for gate.Holds(now, "r") && (!late || gate.left(now, gate.replicas["r"]) < 60*time.Millisecond) {
+				for gate.Holds(now, "r") && (!late || gate.timeLeft(now, gate.replicas["r"]) < 60*time.Millisecond) {
 					m.send(i, now)
 					sent = true
 				}
 				if sent && late && m.random.IntN(4) == 0 {
-					m.frozen[i] = m.Now.Add(m.upTo(3 * time.Second))
+					m.frozen[i] = m.Now.Add(m.randomDuration(3 * time.Second))
 				}
 			})
 			if m.random.IntN(300) == 0 {
-				m.frozen[i] = m.Now.Add(m.upTo(3 * time.Second))
+				m.frozen[i] = m.Now.Add(m.randomDuration(3 * time.Second))
 			}
 			return true
 		})
@@ -143,31 +143,29 @@
 	}
 }
 
-// TestWindowsHoldTheSum: gates that know nothing of one another, with clocks that differ, rows that come
-// late and gates that stand still. With windows of 500 ms in place of a second
-// 24 of 40 seeds see 19 to 27 requests, without the look at the time before a request is written 5 see 19 to 22.
-// That a next window waits for the least that the clock may show is not seen here.
-func TestWindowsHoldTheSum(t *testing.T) {
+// TestWindowsLimitTheTotal checks the total limit for gates that do not communicate, with differing clocks,
+// delayed rows and frozen gates.
+func TestWindowsLimitTheTotal(t *testing.T) {
 	for seed := range uint64(40) {
-		m := newMany(seed, 7)
-		m.play()
-		if m.most > int(bound.Most) {
-			t.Errorf("seed %d: %d requests within a second, %g are allowed", seed, m.most, bound.Most)
+		m := newGateGroup(seed, 7)
+		m.run()
+		if m.maxPerSecond > int(bound.Most) {
+			t.Errorf("seed %d: %d requests within a second, want at most %g", seed, m.maxPerSecond, bound.Most)
 		}
 		if m.granted < 30 {
-			t.Errorf("seed %d: %d requests granted in 30 s", seed, m.granted)
+			t.Errorf("seed %d: %d requests granted in 30 s, want at least 30", seed, m.granted)
 		}
 	}
 }
 
-// exact is a gate whose clock is the store's, with its calls in the test's hands.
-func exact() (*Gate, *task.Queue, *model.Records) {
+// newExactGate returns a gate with an exact store clock, whose store calls are executed by the test.
+func newExactGate() (*Gate, *task.Queue, *model.Records) {
 	queue := &task.Queue{}
 	clock := func(now time.Time) (time.Duration, time.Duration, bool) { return now.Sub(epoch), now.Sub(epoch), true }
 	return New(Options{Self: "n", Queue: queue, Clock: clock}), queue, model.NewRecords(epoch, model.RecordsOptions{WritesPerSecond: 100, ReadsPerSecond: 100, History: time.Minute})
 }
 
-func carryOut(now time.Time, queue *task.Queue, store *model.Records) (writes int) {
+func execute(now time.Time, queue *task.Queue, store *model.Records) (writes int) {
 	for tasks := queue.Take(); len(tasks) > 0; tasks = queue.Take() {
 		for _, one := range tasks {
 			switch one := one.(type) {
@@ -182,10 +180,10 @@
 	return writes
 }
 
-// TestAWindowServesAllItIsWorth: callers at many nodes take one request each; all that the window holds
-// are served, the next is told when another begins.
-func TestAWindowServesAllItIsWorth(t *testing.T) {
-	first, queue, store := exact()
+// TestWindowGrantsItsCapacity checks that callers on different nodes can use up a window one request at a
+// time, and that the next one is told when a new window begins.
+func TestWindowGrantsItsCapacity(t *testing.T) {
+	first, queue, store := newExactGate()
 	now, served := epoch.Add(time.Second), 0
 	gates := []*Gate{first}
 	for range 11 {
@@ -198,18 +196,18 @@
 				gate.Sent(now, "r", "s", bound, Sender{Share: 1}, true)
 			}
 		})
-		carryOut(now, queue, store)
+		execute(now, queue, store)
 	}
 	if served != bound.Worth() {
-		t.Errorf("%d served, should be %d", served, bound.Worth())
+		t.Errorf("%d served, want %d", served, bound.Worth())
 	}
 	last := gates[len(gates)-1]
 	if wait := last.Wait(now, "r", bound); wait != windowLength {
-		t.Errorf("the next is told to wait %s, should be %s", wait, windowLength)
+		t.Errorf("next caller is told to wait %s, want %s", wait, windowLength)
 	}
 	now = now.Add(windowLength)
 	if !last.Claimable(now, "r", bound) {
-		t.Error("the next window may begin once the former is over")
+		t.Error("no new window after the end of the previous one")
 	}
 }
 
@@ -219,29 +217,30 @@
 		status port.RecordStatus
 		pause  time.Duration
 	}{
-		{"refused", port.RecordRefused, refusedPause},
-		{"unanswered", port.RecordUnknown, lostPause},
+		{"refused", port.RecordRefused, refusedRetryDelay},
+		{"unanswered", port.RecordUnknown, unansweredRetryDelay},
 	} {
-		gate, queue, _ := exact()
+		gate, queue, _ := newExactGate()
 		now, outcomes := epoch.Add(time.Second), []bool{}
 		gate.Claim(now, "r", "s", bound, 1, func(_ time.Time, granted bool) { outcomes = append(outcomes, granted) })
 		queue.Take()[0].(task.Commit).Done(now, port.RecordResult{Status: c.status})
 		if !slices.Equal(outcomes, []bool{false}) || gate.Holds(now, "r") {
-			t.Errorf("%s: %v, a claim without an answer is not held", c.name, outcomes)
+			t.Errorf("%s: outcomes %v, want one denial and no grant", c.name, outcomes)
 		}
 		if wait := gate.Wait(now, "r", bound); wait != c.pause {
-			t.Errorf("%s: the next try after %s, should be %s", c.name, wait, c.pause)
+			t.Errorf("%s: next attempt after %s, want %s", c.name, wait, c.pause)
 		}
 	}
 }
 
-// TestAReplicaThatTurnedColdSettles: nodes that have not heard may have sent what their buckets allow.
-func TestAReplicaThatTurnedColdSettles(t *testing.T) {
-	gate, _, _ := exact()
+// TestFirstWindowIsDelayed checks the delay during which nodes unaware of the cold replica may use
+// up their buckets.
+func TestFirstWindowIsDelayed(t *testing.T) {
+	gate, _, _ := newExactGate()
 	now := epoch.Add(time.Second)
 	gate.Turned(now, "r", "s", bound)
 	if gate.Claimable(now.Add(settleTime-time.Millisecond), "r", bound) || !gate.Claimable(now.Add(settleTime), "r", bound) {
-		t.Errorf("its first window begins after %s", settleTime)
+		t.Errorf("first window does not begin after %s", settleTime)
 	}
 }
 
@@ -249,15 +248,15 @@
 	for _, c := range []struct {
 		name   string
 		sender Sender
-		// within are the requests that pass in the first second, if as many come as may.
+		// within is the number of requests allowed in the first second at maximum demand.
 		within int
 	}{
 		{"one node's items", Sender{Items: true, Share: 1}, 17},
 		{"three nodes' items", Sender{Items: true, Share: 3}, 5},
-		{"items of a node out of touch", Sender{Items: true}, 1},
-		{"callers of a node out of touch", Sender{Share: 1}, 17},
+		{"items of an isolated node", Sender{Items: true}, 1},
+		{"callers of an isolated node", Sender{Share: 1}, 17},
 	} {
-		gate, _, _ := exact()
+		gate, _, _ := newExactGate()
 		passed := 0
 		for now := epoch; now.Sub(epoch) < time.Second; now = now.Add(time.Millisecond) {
 			for gate.Allows(now, "r", "s", bound, c.sender) {
@@ -266,25 +265,24 @@
 			}
 		}
 		if passed != c.within {
-			t.Errorf("%s: %d passed, should be %d", c.name, passed, c.within)
+			t.Errorf("%s: %d passed, want %d", c.name, passed, c.within)
 		}
 	}
 }
 
-// TestAnAllowanceOverTime: what an idle replica gets at first, and what it gets for as long as more is
-// wanted..
-func TestAnAllowanceOverTime(t *testing.T) {
+// TestSendLimiterOverTime checks the limiter's bound on any second and its sustained rate.
+func TestSendLimiterOverTime(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		sender Sender
-		// most is what may pass in any second, least what must in ten.
+		// most is the maximum in any second, least the minimum in ten seconds.
 		most, least int
 	}{
 		{"one node", Sender{Items: true, Share: 1}, 17, 100},
 		{"one of three", Sender{Items: true, Share: 3}, 5, 32},
-		{"a node out of touch", Sender{Items: true}, 1, 9},
+		{"an isolated node", Sender{Items: true}, 1, 9},
 	} {
-		gate, _, _ := exact()
+		gate, _, _ := newExactGate()
 		var passed []time.Time
 		for now := epoch; now.Sub(epoch) < 10*time.Second; now = now.Add(5 * time.Millisecond) {
 			for gate.Allows(now, "r", "s", bound, c.sender) {
@@ -293,40 +291,41 @@
 			}
 			last := slices.DeleteFunc(slices.Clone(passed), func(at time.Time) bool { return now.Sub(at) > time.Second })
 			if len(last) > c.most {
-				t.Fatalf("%s: %d within a second, should be %d at the most", c.name, len(last), c.most)
+				t.Fatalf("%s: %d within a second, want at most %d", c.name, len(last), c.most)
 			}
 		}
 		if len(passed) < c.least {
-			t.Errorf("%s: %d in ten seconds, should be %d", c.name, len(passed), c.least)
+			t.Errorf("%s: %d in ten seconds, want at least %d", c.name, len(passed), c.least)
 		}
 	}
 }
 
-// TestCallersTakeRoomOfItems: also those that came before the first item.
-func TestCallersTakeRoomOfItems(t *testing.T) {
-	gate, _, _ := exact()
+// TestCallersCountAgainstItems checks that callers' requests count against the limit of items, even before the
+// first item.
+func TestCallersCountAgainstItems(t *testing.T) {
+	gate, _, _ := newExactGate()
 	for range 17 {
 		gate.Sent(epoch, "r", "s", bound, Sender{Share: 1}, false)
 	}
 	if gate.Allows(epoch.Add(time.Second), "r", "s", bound, Sender{Items: true, Share: 1}) {
-		t.Error("the replica got what it may get in a second")
+		t.Error("item allowed although callers have used up the limit")
 	}
 }
 
 func TestCollect(t *testing.T) {
-	gate, queue, store := exact()
+	gate, queue, store := newExactGate()
 	now := epoch.Add(time.Second)
 	for _, id := range []string{"gone", "listed"} {
 		gate.Claim(now, id, "s", bound, 1, nil)
 	}
-	carryOut(now, queue, store)
+	execute(now, queue, store)
 	listed := func(id string) bool { return id == "listed" }
 	gate.Collect(now, listed)
-	now = now.Add(2 * collectEvery)
+	now = now.Add(2 * collectInterval)
 	gate.Collect(now, listed)
-	carryOut(now, queue, store)
+	execute(now, queue, store)
 	rows := store.Range(now, port.RecordRange{Table: Table, Partition: Table}).Records
 	if len(rows) != 1 || rows[0].Key != "listed" {
-		t.Errorf("%v are left", rows)
+		t.Errorf("rows left: %v, want only \"listed\"", rows)
 	}
 }
--- a/internal/process/coldstart/collect.go
+++ b/internal/process/coldstart/collect.go
@@ -9,46 +9,47 @@
 )
 
 const (
-	// collectEvery paces the collection, deletesAtOnce bounds the rows of one transaction.
-	collectEvery  = time.Minute
-	deletesAtOnce = 90
+	// collectInterval is the time between two collections, maxDeletes the maximum number of rows in one
+	// transaction.
+	collectInterval = time.Minute
+	maxDeletes      = 90
 )
 
-// collection deletes the windows of replicas that are gone.
-type collection struct {
-	at      time.Time
+// collector schedules the deletion of the windows of removed replicas.
+type collector struct {
+	nextAt  time.Time
 	running bool
 }
 
-// Collect deletes the rows of replicas that are not listed; one node is enough. A replica whose row
-// goes too early would be given a new window at once, so the caller's list must be confirmed.
+// Collect deletes the windows of replicas that are not listed. One collecting node is enough. The caller's
+// list must be up to date: a listed replica whose row is deleted too early would get a new window at once.
 func (g *Gate) Collect(now time.Time, listed func(id string) bool) {
-	c := &g.collect
-	if c.at.IsZero() {
-		c.at = now.Add(collectEvery)
+	c := &g.collector
+	if c.nextAt.IsZero() {
+		c.nextAt = now.Add(collectInterval)
 	}
-	if c.running || now.Before(c.at) {
+	if c.running || now.Before(c.nextAt) {
 		return
 	}
-	c.at = now.Add(collectEvery)
+	c.nextAt = now.Add(collectInterval)
 	c.running = true
 	g.options.Queue.Add(task.Range{
 		Query: port.RecordRange{Table: Table, Partition: Table},
 		Done: func(now time.Time, result port.RecordResult) {
 			c.running = false
-			g.removeGone(now, result.Records, listed)
+			g.deleteRows(now, result.Records, listed)
 		},
 	})
 }
 
-// removeGone deletes rows whose replica is gone, each at the revision at which its window was over.
-func (g *Gate) removeGone(now time.Time, records []port.Record, listed func(id string) bool) {
+// deleteRows deletes the expired rows of unlisted replicas, each only at the revision that was read.
+func (g *Gate) deleteRows(now time.Time, records []port.Record, listed func(id string) bool) {
 	least, _, _ := g.options.Clock(now)
 	var transaction port.RecordTransaction
 	for _, record := range records {
 		w := window{}
-		w.learnRow(record.Key, []port.Record{record})
-		if listed(record.Key) || least < w.until+collectEvery || len(transaction.Deletes) == deletesAtOnce {
+		w.updateFromRow(record.Key, []port.Record{record})
+		if listed(record.Key) || least < w.until+collectInterval || len(transaction.Deletes) == maxDeletes {
 			continue
 		}
 		transaction.Preconditions = append(transaction.Preconditions, port.Precondition{RecordKey: record.RecordKey, Revision: record.Revision})
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -12,86 +12,85 @@
 )
 
 const (
-	// Table holds the windows of cold replicas, in a partition of the same name. No node watches it:
-	// who needs a window learns of it by the answer to its claim.
+	// Table holds the windows of cold replicas, in a partition of the same name. It is not watched: the
+	// response to a claim carries the current window.
 	Table = "cold-starts"
-	// windowLength is the least time between the ends of two windows: the span of the bound.
+	// windowLength is the minimum time between the ends of two successive windows.
 	windowLength = time.Second
-	// sendMargin is how long before a window's end a request must have been chosen for the replica;
-	// the request is written before the end or not at all.
+	// sendMargin is the time before the end of a window at which it stops being used for new requests, so
+	// that a chosen request can be written before the end.
 	sendMargin = 50 * time.Millisecond
-	// settleTime passes after a replica that was warm turned cold until its first window: nodes that
-	// have not heard of it may have sent as much as their buckets allow. Records are written every
-	// second or so and are known within 0.8 s where the store is not slow.
+	// settleTime is the delay before the first window of a replica that turned cold while nodes knew it as
+	// warm. Until they learn of it, nodes may use up their token buckets.
 	settleTime = 1500 * time.Millisecond
-	// claimsAtOnce bounds a node's claims under way, refusedPause and lostPause are the waits after
-	// one that the store refused or left unanswered.
-	claimsAtOnce = 16
-	refusedPause = 100 * time.Millisecond
-	lostPause    = 300 * time.Millisecond
-	// triesAtOnce is how often a claim is made anew whose row had changed.
-	triesAtOnce = 4
+	// maxConcurrentClaims limits a node's pending claims. The delays apply after a claim that the store
+	// refused or left unanswered.
+	maxConcurrentClaims  = 16
+	refusedRetryDelay    = 100 * time.Millisecond
+	unansweredRetryDelay = 300 * time.Millisecond
+	// maxClaimAttempts is how often a claim is attempted if its row keeps changing.
+	maxClaimAttempts = 4
 )
 
-// window is what this node knows of a replica's window.
+// window is a replica's window as known to this node.
 type window struct {
-	// revision is the row's, 0 if it is absent or not known; until and taken are its content.
+	// revision is the row's revision, 0 if it is absent or unknown; until and taken are its content.
 	revision int64
 	until    time.Duration
 	taken    int
-	// mine is how many requests this node may still send before mineUntil, by the store's clock.
-	mine      int
-	mineUntil time.Duration
-	claiming  bool
-	notBefore time.Time
-	tries     int
-	waiting   []claim
+	// granted is the number of requests that this node may still send before grantedUntil, by the store's
+	// clock.
+	granted      int
+	grantedUntil time.Duration
+	claiming     bool
+	notBefore    time.Time
+	attempts     int
+	waiting      []claim
 }
 
-// claim is a wish for requests to a cold replica; done is nil where nobody waits for it.
+// claim asks for requests to a cold replica. done may be nil.
 type claim struct {
-	want int
-	done func(now time.Time, granted bool)
+	count int
+	done  func(now time.Time, granted bool)
 }
 
-// WindowKey names the row of a replica's window.
+// WindowKey returns the key of a replica's window.
 func WindowKey(replica string) port.RecordKey {
 	return port.RecordKey{Table: Table, Partition: Table, Key: replica}
 }
 
-// Turned notes that a replica turned cold that this node knew as warm.
+// Turned delays the first window of a replica that turned cold while it was known as warm.
 func (g *Gate) Turned(now time.Time, id, service string, bound Bound) {
 	g.replica(id, service, bound).window.notBefore = now.Add(settleTime)
 }
 
-// Holds reports whether this node may send a request to a cold replica now.
+// Holds reports whether this node has an unused grant for a cold replica.
 func (g *Gate) Holds(now time.Time, id string) bool {
 	r := g.replicas[id]
-	return r != nil && g.left(now, r) > 0
+	return r != nil && g.timeLeft(now, r) > 0
 }
 
-// left returns for how long this node may send to a cold replica, not above 0 if it may not.
-func (g *Gate) left(now time.Time, r *replica) time.Duration {
+// timeLeft returns how long this node may still send to a cold replica, zero or less if it may not.
+func (g *Gate) timeLeft(now time.Time, r *replica) time.Duration {
 	_, most, known := g.options.Clock(now)
-	if !known || r.window.mine <= 0 {
+	if !known || r.window.granted <= 0 {
 		return 0
 	}
-	return r.window.mineUntil - most - sendMargin
+	return r.window.grantedUntil - most - sendMargin
 }
 
-// SendBy returns until when a request to a cold replica that this node holds must be written.
+// SendBy returns the time by which a granted request to a cold replica must be written.
 func (g *Gate) SendBy(now time.Time, id string) time.Time {
-	return now.Add(g.left(now, g.replicas[id]) + sendMargin)
+	return now.Add(g.timeLeft(now, g.replicas[id]) + sendMargin)
 }
 
-// Claimable reports whether requests to a cold replica may be left in its window, or a new one may
-// begin; a claim finds out.
+// Claimable reports whether a claim for a cold replica may succeed now.
 func (g *Gate) Claimable(now time.Time, id string, bound Bound) bool {
 	return g.Wait(now, id, bound) == 0
 }
 
-// Wait returns how long no request can be had for a cold replica, 0 if one may be had now. Nothing is kept
-// for a replica that is only asked about, which may be gone.
+// Wait returns how long to wait before a claim for a cold replica may succeed, 0 if it may succeed now. It
+// keeps no state for unknown replicas.
 func (g *Gate) Wait(now time.Time, id string, bound Bound) time.Duration {
 	w := window{}
 	if r := g.replicas[id]; r != nil {
@@ -99,12 +98,12 @@
 	}
 	least, most, known := g.options.Clock(now)
 	wait := max(w.notBefore.Sub(now), 0)
-	if !w.claiming && g.claiming >= claimsAtOnce {
-		// Callers would try all cold replicas in turn otherwise, to be denied by each.
-		wait = max(wait, refusedPause)
+	if !w.claiming && g.claiming >= maxConcurrentClaims {
+		// Without this limit callers would try all cold replicas in turn and be denied by each.
+		wait = max(wait, refusedRetryDelay)
 	}
 	if !known || bound.Worth() == 0 {
-		return max(wait, lostPause)
+		return max(wait, unansweredRetryDelay)
 	}
 	if w.taken < bound.Worth() && most+sendMargin < w.until {
 		return wait
@@ -112,38 +111,38 @@
 	return max(wait, w.until-least)
 }
 
-// Claim claims some requests to a cold replica. done, unless nil, is told whether one may be sent: it
-// is to be sent, and told by Sent, right then.
+// Claim claims requests to a cold replica. done, unless nil, is called with the outcome. If the claim is
+// granted, it must send the request and call Sent before it returns.
 func (g *Gate) Claim(now time.Time, id, service string, bound Bound, want int, done func(now time.Time, granted bool)) {
 	r := g.replica(id, service, bound)
 	w := &r.window
 	if done == nil && w.claiming {
 		return
 	}
-	w.waiting = append(w.waiting, claim{want: want, done: done})
+	w.waiting = append(w.waiting, claim{count: want, done: done})
 	if w.claiming {
 		return
 	}
-	w.tries = 0
-	g.try(now, r)
+	w.attempts = 0
+	g.tryClaim(now, r)
 }
 
-// try writes the next state of the row, unless the wishes can be granted without, or not at all.
-func (g *Gate) try(now time.Time, r *replica) {
+// tryClaim grants the waiting claims from this node's grants, denies them, or writes an updated row.
+func (g *Gate) tryClaim(now time.Time, r *replica) {
 	w := &r.window
-	w.serve(now, func() bool { return g.left(now, r) > 0 })
+	w.grantWaiting(now, func() bool { return g.timeLeft(now, r) > 0 })
 	if len(w.waiting) == 0 {
 		return
 	}
-	if w.tries >= triesAtOnce || g.Wait(now, r.id, r.bound) > 0 {
+	if w.attempts >= maxClaimAttempts || g.Wait(now, r.id, r.bound) > 0 {
 		g.deny(now, r)
 		return
 	}
-	w.tries++
-	next, took := g.next(now, r)
+	w.attempts++
+	next, took := g.nextRow(now, r)
 	value, err := proto.Marshal(next)
 	if err != nil {
-		panic("a window must encode: " + err.Error())
+		panic("marshal cold window: " + err.Error())
 	}
 	w.claiming = true
 	g.claiming++
@@ -155,81 +154,81 @@
 		Done: func(now time.Time, result port.RecordResult) {
 			w.claiming = false
 			g.claiming--
-			g.onAnswer(now, r, next, took, result)
+			g.onClaimResult(now, r, next, took, result)
 		},
 	})
 }
 
-// next returns the row in which this node has taken requests, and how many.
-func (g *Gate) next(now time.Time, r *replica) (*doorstepv1.ColdWindow, int) {
+// nextRow returns the updated row and the number of requests that this node takes with it.
+func (g *Gate) nextRow(now time.Time, r *replica) (*doorstepv1.ColdWindow, int) {
 	w := &r.window
 	least, most, _ := g.options.Clock(now)
 	want := 0
 	for _, one := range w.waiting {
-		want += one.want
+		want += one.count
 	}
 	until, taken := w.until, w.taken
 	if w.revision == 0 || least >= w.until {
-		// The former window is over whatever the store's clock shows, and this one's end is at
-		// least windowLength after that one's: a third can't begin within a second of the first.
+		// The previous window has ended by any bound of the store's clock. The new one ends at least
+		// windowLength later, so that no third window can begin within a second of the first.
 		until, taken = most+windowLength, 0
 	}
 	took := min(want, r.bound.Worth()-taken)
 	return &doorstepv1.ColdWindow{
-		// Rounded up, as the end of this window bounds the next one's.
+		// Rounded up, as the next window must not begin before this one ends.
 		UntilMs: (until + time.Millisecond - 1).Milliseconds(), Taken: int32(taken + took),
 		Node: g.options.Self, Incarnation: g.options.Incarnation, Service: r.service,
 	}, took
 }
 
-func (g *Gate) onAnswer(now time.Time, r *replica, next *doorstepv1.ColdWindow, took int, result port.RecordResult) {
+func (g *Gate) onClaimResult(now time.Time, r *replica, next *doorstepv1.ColdWindow, took int, result port.RecordResult) {
 	if g.replicas[r.id] != r {
-		r.fail(now)
+		r.failWaiting(now)
 		return
 	}
 	w := &r.window
 	switch result.Status {
 	case port.RecordDone:
-		w.learn(result.Revision, next)
-		if w.mineUntil != w.until {
-			w.mine, w.mineUntil = 0, w.until
+		w.update(result.Revision, next)
+		if w.grantedUntil != w.until {
+			w.granted, w.grantedUntil = 0, w.until
 		}
-		w.mine += took
+		w.granted += took
 		g.figures.Granted++
 		g.options.Queue.Log(event.ColdClaimed, "replica", r.id, "service", r.service, "requests", took, "taken", w.taken, "until_ms", next.UntilMs)
-		g.try(now, r)
+		g.tryClaim(now, r)
 		return
 	case port.RecordConflict:
-		w.learnRow(r.id, result.Records)
-		g.try(now, r)
+		w.updateFromRow(r.id, result.Records)
+		g.tryClaim(now, r)
 		return
 	case port.RecordRefused:
-		w.notBefore = now.Add(refusedPause)
+		w.notBefore = now.Add(refusedRetryDelay)
 	default:
-		// The claim may take effect later: what it took is used by nobody.
-		w.notBefore = now.Add(lostPause)
+		// The claim may still take effect, in which case its requests remain unused.
+		w.notBefore = now.Add(unansweredRetryDelay)
 	}
 	g.deny(now, r)
 }
 
-func (w *window) learn(revision int64, row *doorstepv1.ColdWindow) {
+func (w *window) update(revision int64, row *doorstepv1.ColdWindow) {
 	w.revision = revision
 	w.until, w.taken = time.Duration(row.UntilMs)*time.Millisecond, int(row.Taken)
 }
 
-// learnRow takes the row as it stands.
-func (w *window) learnRow(replica string, records []port.Record) {
+// updateFromRow sets the window from the row in a read result, if it is there.
+func (w *window) updateFromRow(replica string, records []port.Record) {
 	w.revision, w.until, w.taken = 0, 0, 0
 	for _, record := range records {
 		row := &doorstepv1.ColdWindow{}
 		if record.Key == replica && record.Revision > 0 && proto.Unmarshal(record.Value, row) == nil {
-			w.learn(record.Revision, row)
+			w.update(record.Revision, row)
 		}
 	}
 }
 
-// serve grants the wishes in turn while this node holds requests.
-func (w *window) serve(now time.Time, holds func() bool) {
+// grantWaiting grants the waiting claims in order while this node has grants left.
+func (w *window) grantWaiting(now time.Time, holds func() bool) {
 	for len(w.waiting) > 0 && holds() {
 		first := w.waiting[0]
 		w.waiting = w.waiting[1:]
@@ -239,16 +238,16 @@
 	}
 }
 
-// deny tells those who wait that nothing can be had now.
+// deny rejects all waiting claims.
 func (g *Gate) deny(now time.Time, r *replica) {
 	g.figures.Denied += len(r.window.waiting)
 	if len(r.window.waiting) > 0 {
 		g.options.Queue.Log(event.ColdClaimDenied, "replica", r.id, "service", r.service, "wait_ms", g.Wait(now, r.id, r.bound).Milliseconds())
 	}
-	r.fail(now)
+	r.failWaiting(now)
 }
 
-func (r *replica) fail(now time.Time) {
+func (r *replica) failWaiting(now time.Time) {
 	waiting := r.window.waiting
 	r.window.waiting = nil
 	for _, one := range waiting {
