--- a/internal/process/quarantine/entry.go
+++ b/internal/process/quarantine/entry.go
@@ -11,37 +11,36 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Partition holds the records, in the shared table.
+// Partition is the partition of the shared table that holds the records.
 const Partition = "quarantine"
 
-// entryKind is what a record tells of.
+// entryKind is the kind of a record.
 type entryKind string
 
 const (
-	// crashEntry records tell of a replica that ended, trialEntry ones of a trial.
+	// crashEntry is the kind of records of crashed replicas, trialEntry that of trials.
 	crashEntry entryKind = "crash"
 	trialEntry entryKind = "trial"
 )
 
-// entryName names a record within the partition. A request has one for each replica that it
-// crashed and one for each trial, so that a repeated write changes nothing.
+// entryName identifies a record within the partition. A request has one record for each replica that it
+// crashed and one for each trial, so that writes are idempotent.
 type entryName struct {
 	fingerprint Fingerprint
 	kind        entryKind
-	// which is the replica's ID or the trial's number.
-	which string
+	// id is the replica's ID or the number of the trial.
+	id string
 }
 
 func trialName(fingerprint Fingerprint, number int) entryName {
 	return entryName{fingerprint, trialEntry, strconv.Itoa(number)}
 }
 
-// key returns the record's key.
 func (n entryName) key() port.RecordKey {
-	return port.RecordKey{Table: port.SharedTable, Partition: Partition, Key: n.fingerprint.String() + "/" + string(n.kind) + "/" + n.which}
+	return port.RecordKey{Table: port.SharedTable, Partition: Partition, Key: n.fingerprint.String() + "/" + string(n.kind) + "/" + n.id}
 }
 
-// parseEntryName reads a record's key; it is false for a key of another form.
+// parseEntryName parses a record's key; it returns false for an invalid key.
 func parseEntryName(key string) (entryName, bool) {
 	parts := strings.SplitN(key, "/", 3)
 	if len(parts) != 3 {
@@ -54,19 +53,19 @@
 	return entryName{fingerprint, entryKind(parts[1]), parts[2]}, true
 }
 
-// Entry is one record as operators see it.
+// Entry is a decoded record.
 type Entry struct {
-	// Request is the fingerprint.
+	// Request is the request's fingerprint.
 	Request string
-	// Trial tells of a trial, else the entry tells of a crash.
+	// Trial is set for a trial and unset for a crash.
 	Trial bool
-	// Replica is the replica that ended, empty for a trial.
+	// Replica is the crashed replica, empty for a trial.
 	Replica, Route, Tenant, Node string
-	// At is when it was, by the record store's clock.
+	// At is the time of the crash or trial by the record store's clock.
 	At time.Duration
 }
 
-// DecodeEntry reads a record of the partition.
+// DecodeEntry decodes a record of the partition.
 func DecodeEntry(record port.Record) (Entry, error) {
 	decoded := &doorstepv1.QuarantineEntry{}
 	if err := proto.Unmarshal(record.Value, decoded); err != nil {
@@ -81,13 +80,13 @@
 		At: time.Duration(decoded.AtMs) * time.Millisecond,
 	}
 	if !entry.Trial {
-		entry.Replica = name.which
+		entry.Replica = name.id
 	}
 	return entry, nil
 }
 
-// errKey says that a record's key is of another form.
-var errKey = keyError("the key does not name a request, a kind and what of that kind")
+// errKey is the error for an invalid record key.
+var errKey = keyError("invalid quarantine key: want <fingerprint>/<kind>/<id>")
 
 type keyError string
 
--- a/internal/process/quarantine/fingerprint.go
+++ b/internal/process/quarantine/fingerprint.go
@@ -1,4 +1,4 @@
-// Package quarantine keeps requests that crash the replicas that run them away from replicas.
+// Package quarantine prevents requests that crash replicas from being sent to further replicas.
 package quarantine
 
 import (
@@ -8,25 +8,25 @@
 	"io"
 )
 
-// Fingerprint names what a request asks for. It is the same each time that a caller repeats the
-// request, at whichever node and under whichever id.
+// Fingerprint identifies the content of a request. It is the same for all repetitions of the request, on any
+// node and under any request ID.
 type Fingerprint [16]byte
 
-// Call is what a request asks for.
+// Call is the content of a request.
 type Call struct {
-	// Method, Host and Target, the path with the query, are the request's.
+	// Target is the path with the query.
 	Method, Host, Target string
-	// Tenant is the caller's, empty where there are no tenants.
+	// Tenant is the caller's tenant, empty without tenants.
 	Tenant string
 	Body   []byte
 }
 
-// Fingerprint returns the call's fingerprint. The digest is a cryptographic one, so that no caller
-// can make a request that is taken for another's.
+// Fingerprint returns the call's fingerprint. It uses a cryptographic hash, so that callers cannot produce
+// collisions with other callers' requests.
 func (c *Call) Fingerprint() Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{c.Method, c.Host, c.Target, c.Tenant} {
-		// Each part's length keeps parts from running into one another.
+		// Length prefixes prevent ambiguity between adjacent parts.
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		_, _ = digest.Write(size[:])
@@ -36,7 +36,7 @@
 	return Fingerprint(digest.Sum(nil)[:len(Fingerprint{})])
 }
 
-// ParseFingerprint reads a fingerprint in hexadecimal digits; it is false for another text.
+// ParseFingerprint parses a hexadecimal fingerprint; it returns false for an invalid one.
 func ParseFingerprint(text string) (Fingerprint, bool) {
 	digest, err := hex.DecodeString(text)
 	if err != nil || len(digest) != len(Fingerprint{}) {
@@ -45,5 +45,5 @@
 	return Fingerprint(digest), true
 }
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/process/quarantine/fingerprint_test.go
+++ b/internal/process/quarantine/fingerprint_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func TestFingerprintsTellCallsApart(t *testing.T) {
+func TestFingerprintsDiffer(t *testing.T) {
 	call := Call{Method: "POST", Host: "h", Target: "/a", Tenant: "t", Body: []byte("body")}
 	if again := call; again.Fingerprint() != call.Fingerprint() {
-		t.Error("a repeat has the same fingerprint")
+		t.Error("repeated call has a different fingerprint")
 	}
 	for name, other := range map[string]Call{
 		"method": {Method: "PUT", Host: "h", Target: "/a", Tenant: "t", Body: []byte("body")},
@@ -16,7 +16,7 @@
 		"parts":  {Method: "POST", Host: "h", Target: "/at", Body: []byte("body")},
 	} {
 		if other.Fingerprint() == call.Fingerprint() {
-			t.Errorf("a call that differs in its %s has the same fingerprint", name)
+			t.Errorf("call with a different %s has the same fingerprint", name)
 		}
 	}
 }
--- a/internal/process/quarantine/judge.go
+++ b/internal/process/quarantine/judge.go
@@ -8,26 +8,26 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// State says whether a request may be sent to replicas.
+// State is whether a request may be sent to replicas.
 type State int
 
 const (
 	// Clear requests may be sent.
 	Clear State = iota
-	// Held ones may not.
+	// Held requests must not be sent.
 	Held
-	// OnTrial ones may be sent once, by the node that claims the trial.
+	// OnTrial requests may be sent once, by the node that claims the trial.
 	OnTrial
 )
 
-// Verdict is what is to be done with a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	State State
-	// Left is how long a held request goes on being held.
+	// Left is the remaining time for which the request is held.
 	Left time.Duration
 }
 
-// Crashes returns how many replicas ended while they had a request, as far as it counts.
+// Crashes returns the number of counted replica crashes of a request.
 func (q *Quarantine) Crashes(fingerprint Fingerprint) int {
 	if s := q.suspects[fingerprint]; s != nil {
 		return len(s.crashes)
@@ -35,28 +35,28 @@
 	return 0
 }
 
-// Judge says whether a request may be sent to replicas.
+// Judge returns whether a request may be sent to replicas.
 func (q *Quarantine) Judge(now time.Time, fingerprint Fingerprint) Verdict {
 	s := q.suspects[fingerprint]
 	if s == nil || !s.held() {
 		return Verdict{}
 	}
-	wait := keptFor
-	if len(s.trials) < len(trialAfter) {
-		wait = trialAfter[len(s.trials)]
+	wait := quarantineTTL
+	if len(s.trials) < len(trialDelays) {
+		wait = trialDelays[len(s.trials)]
 	}
-	left := s.last() + wait - q.options.StoreClock(now)
+	left := s.lastEventAt() + wait - q.options.StoreClock(now)
 	switch {
 	case left > 0:
 		return Verdict{State: Held, Left: left}
-	case len(s.trials) < len(trialAfter):
+	case len(s.trials) < len(trialDelays):
 		return Verdict{State: OnTrial}
 	}
 	return Verdict{}
 }
 
-// Claim claims the next trial of a request. One node gets each: the record must be absent. Where its
-// answer is lost, the trial is spent.
+// Claim claims the next trial of a request for this node. Each trial is granted once, as its record must not
+// exist yet. A claim without a response uses up the trial.
 func (q *Quarantine) Claim(now time.Time, fingerprint Fingerprint, done func(now time.Time, granted bool)) {
 	s := q.suspects[fingerprint]
 	if s == nil {
@@ -72,8 +72,8 @@
 		},
 		Done: func(now time.Time, result port.RecordResult) {
 			if result.Status == port.RecordDone {
-				s.trials[name.which] = &entry{at: at, recorded: true}
-				q.options.Queue.Log(event.QuarantineTrial, "fingerprint", fingerprint.String(), "route", s.route, "trial", name.which)
+				s.trials[name.id] = &entry{at: at, recorded: true}
+				q.options.Queue.Log(event.QuarantineTrial, "fingerprint", fingerprint.String(), "route", s.route, "trial", name.id)
 			}
 			done(now, result.Status == port.RecordDone)
 		},
--- a/internal/process/quarantine/lift_test.go
+++ b/internal/process/quarantine/lift_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// lift has all nodes hear that operators lifted a request's quarantine now.
-func (b *bench) lift(request Request) {
-	for _, n := range b.nodes {
-		n.Lift(b.now, map[Fingerprint]time.Duration{request.Fingerprint: b.now.Sub(epoch)})
+// lift notifies all nodes that operators have lifted a request's quarantine now.
+func (c *testCluster) lift(request Request) {
+	for _, n := range c.nodes {
+		n.Lift(c.now, map[Fingerprint]time.Duration{request.Fingerprint: c.now.Sub(epoch)})
 	}
-	b.settle()
+	c.settle()
 }
 
-// TestLiftedQuarantine: what was noted before an operator's word is void at every node, also where
-// a record of it is written late, while later crashes count.
+// TestLiftedQuarantine checks that entries before a lift are void on every node, even if a record of one is
+// written late, and that later crashes count.
 func TestLiftedQuarantine(t *testing.T) {
-	b := newBench(3)
+	c := newTestCluster(3)
 	request, other := requestOf("mended"), requestOf("poison")
-	b.crash(request, "r1", "r2", "r3")
-	b.crash(other, "r1", "r2", "r3")
-	late := b.nodes[0].record(entryName{request.Fingerprint, crashEntry, "r4"}, b.nodes[0].suspects[request.Fingerprint], b.now.Sub(epoch))
-	b.now = b.now.Add(time.Second)
-	b.lift(request)
-	b.expect(t, "after the lift", request, Clear)
-	b.expect(t, "another request", other, Held)
-	if rows := b.rows(); rows != 3 {
-		t.Errorf("%d records are left, should be those of the other request", rows)
+	c.crash(request, "r1", "r2", "r3")
+	c.crash(other, "r1", "r2", "r3")
+	late := c.nodes[0].record(entryName{request.Fingerprint, crashEntry, "r4"}, c.nodes[0].suspects[request.Fingerprint], c.now.Sub(epoch))
+	c.now = c.now.Add(time.Second)
+	c.lift(request)
+	c.expect(t, "after the lift", request, Clear)
+	c.expect(t, "another request", other, Held)
+	if rows := c.rows(); rows != 3 {
+		t.Errorf("%d records left, want the 3 of the other request", rows)
 	}
-	b.nodes[1].OnRecord(late)
-	b.settle()
-	if b.nodes[1].Crashes(request.Fingerprint) != 0 {
-		t.Error("a crash before the lift counts, as its record was written late")
+	c.nodes[1].OnRecord(late)
+	c.settle()
+	if c.nodes[1].Crashes(request.Fingerprint) != 0 {
+		t.Error("crash before the lift counts because its record was written late")
 	}
-	b.now = b.now.Add(time.Second)
-	b.crash(request, "r5", "r6", "r7")
-	b.expect(t, "after three crashes since", request, Held)
+	c.now = c.now.Add(time.Second)
+	c.crash(request, "r5", "r6", "r7")
+	c.expect(t, "after three crashes since", request, Held)
 }
--- a/internal/process/quarantine/quarantine.go
+++ b/internal/process/quarantine/quarantine.go
@@ -12,92 +12,94 @@
 )
 
 const (
-	// CrashLimit is how many replicas a request may crash before it is kept from all others. Whatever
-	// else was at these replicas is suspected with it, but is answered elsewhere before it meets a
-	// third that ends.
+	// CrashLimit is the number of replicas that a request may crash before it is quarantined. Other requests
+	// on the same replicas become suspects too, but are normally answered elsewhere before they reach the
+	// limit.
 	CrashLimit = 3
-	// suspectedFor is how long crashes below the limit count, keptFor how long it is known of a
-	// request that it was kept from replicas.
-	suspectedFor = 10 * time.Minute
-	keptFor      = 24 * time.Hour
-	// entriesAtOnce bounds the records of one transaction, writeRetry is the wait after one that
-	// brought nothing.
-	entriesAtOnce = 90
-	writeRetry    = 250 * time.Millisecond
-	// collectEvery paces the collection, one request at a time; expireEvery paces the look for
-	// crashes that are too old and were never written.
-	collectEvery = time.Second
-	expireEvery  = time.Minute
+	// suspectTTL is how long crashes below the limit count, quarantineTTL how long a quarantine is remembered
+	// after its last crash or trial.
+	suspectTTL    = 10 * time.Minute
+	quarantineTTL = 24 * time.Hour
+	// maxTransactionEntries limits the records in one transaction, writeRetryDelay is the delay after a failed
+	// one.
+	maxTransactionEntries = 90
+	writeRetryDelay       = 250 * time.Millisecond
+	// collectInterval is the time between two collected requests, expireInterval the time between two
+	// removals of expired suspects without records.
+	collectInterval = time.Second
+	expireInterval  = time.Minute
 )
 
-// trialAfter is how long after the last crash, or trial, a request is tried again, by how often it
-// was. What made it crash replicas may be mended; if not, each trial costs a replica.
-var trialAfter = []time.Duration{2 * time.Minute, 10 * time.Minute, 50 * time.Minute}
+// trialDelays are the delays after the last crash or trial before a quarantined request is tried again, by
+// the number of previous trials. The cause of the crashes may have been fixed; if not, each trial costs a
+// replica.
+var trialDelays = []time.Duration{2 * time.Minute, 10 * time.Minute, 50 * time.Minute}
 
 // Options configure a Quarantine.
 type Options struct {
 	Self  string
 	Queue *task.Queue
-	// StoreClock returns the least that the record store's clock shows at a time.
+	// StoreClock returns a lower bound on the record store's clock at a time.
 	StoreClock func(at time.Time) time.Duration
 }
 
-// Quarantine is one node's view of the requests that crash replicas; it belongs to the node's loop.
+// Quarantine is one node's view of the requests that crash replicas. It is used from the node's loop only.
 //
-// A replica that ends while it has requests makes each of them a suspect. One that is answered
-// after that is none any more; one that has crashed CrashLimit replicas is held. Crashes are records
-// that all nodes watch, as a caller may repeat its request at any node.
+// When a replica crashes, all requests on it become suspects. A suspect that is answered later is cleared; one
+// that has crashed CrashLimit replicas is held. Crashes are stored in records that all nodes watch, as a
+// caller may repeat its request on any node.
 type Quarantine struct {
 	options  Options
 	suspects map[Fingerprint]*suspect
 	answered answeredSet
-	// removals are the records of requests that were answered.
+	// removals holds the keys of records to be deleted.
 	removals map[port.RecordKey]bool
-	// lifts holds up to when operators declared void what is known of a request.
+	// lifts holds the time up to which operators voided the entries of a request.
 	lifts map[Fingerprint]time.Duration
-	// unwritten says that there may be something to write, writing that a transaction is under way.
-	unwritten, writing           bool
+	// dirty is set if there may be something to write, writing while a transaction is pending.
+	dirty, writing               bool
 	retryAt, expireAt, collectAt time.Time
-	crashes                      int
+	// crashes counts calls of Crashed.
+	crashes int
 }
 
-// New returns a quarantine that knows of no request.
+// New returns a quarantine with empty state.
 func New(options Options) *Quarantine {
 	return &Quarantine{options: options, suspects: map[Fingerprint]*suspect{}, removals: map[port.RecordKey]bool{}}
 }
 
-// Request is a request on its way.
+// Request identifies a request that is being served.
 type Request struct {
 	Fingerprint Fingerprint
-	// Route is the name of its route, Tenant its caller's; both are for operators.
+	// Route and Tenant are names, shown to operators.
 	Route, Tenant string
-	// Owned says that no other node sends the request: others need not hear of a first crash.
+	// Owned is set if no other node sends the request, so that its first crash need not be shared.
 	Owned bool
 }
 
-// Crashed notes that a replica ended while it had a request.
+// Crashed records that a replica crashed while it was running a request.
 func (q *Quarantine) Crashed(now time.Time, request Request, replica string) {
 	q.crashes++
 	if q.answered.has(now, request.Fingerprint) {
-		// Replicas that end together are not the fault of what is answered all the time.
+		// The request is answered on other replicas, so it is not the cause of the crash.
 		return
 	}
 	s := q.suspect(request.Fingerprint)
 	if s.crashes[replica] != nil {
 		return
 	}
-	s.route, s.tenant, s.notedAt = request.Route, request.Tenant, now
+	s.route, s.tenant, s.lastCrashAt = request.Route, request.Tenant, now
 	held := s.held()
 	s.crashes[replica] = &entry{at: q.options.StoreClock(now)}
-	s.due = s.due || !request.Owned || len(s.crashes) > 1
-	q.unwritten = true
+	s.persist = s.persist || !request.Owned || len(s.crashes) > 1
+	q.dirty = true
 	q.options.Queue.Log(event.ReplicaCrashed, "fingerprint", request.Fingerprint.String(), "replica", replica, "route", request.Route,
 		"crashes", len(s.crashes))
-	q.noteHeld(request.Fingerprint, s, held)
+	q.logQuarantined(request.Fingerprint, s, held)
 	q.write(now)
 }
 
-// Answered notes that a replica ran a request to a good end: it does not crash those that run it.
+// Answered records that a replica completed a request, which clears the request.
 func (q *Quarantine) Answered(now time.Time, fingerprint Fingerprint) {
 	q.answered.add(now, fingerprint)
 	s := q.suspects[fingerprint]
@@ -106,8 +108,8 @@
 	}
 	delete(q.suspects, fingerprint)
 	for _, name := range s.names(fingerprint) {
-		if s.due || s.entries(name.kind)[name.which].recorded {
-			q.remove(name)
+		if s.persist || s.entries(name.kind)[name.id].recorded {
+			q.deleteRecord(name)
 		}
 	}
 	if s.held() {
@@ -125,86 +127,86 @@
 	return s
 }
 
-// noteHeld tells of a request that is held from now on.
-func (q *Quarantine) noteHeld(fingerprint Fingerprint, s *suspect, before bool) {
+// logQuarantined logs a request that has just reached the crash limit.
+func (q *Quarantine) logQuarantined(fingerprint Fingerprint, s *suspect, before bool) {
 	if s.held() && !before {
 		q.options.Queue.Log(event.RequestQuarantined, "fingerprint", fingerprint.String(), "route", s.route, "crashes", len(s.crashes))
 	}
 }
 
-// Tick writes what is due, and forgets now and then crashes that were never written.
+// Tick writes pending records and removes expired suspects without records.
 func (q *Quarantine) Tick(now time.Time) {
 	q.write(now)
 	if now.Before(q.expireAt) {
 		return
 	}
-	q.expireAt = now.Add(expireEvery)
+	q.expireAt = now.Add(expireInterval)
 	for fingerprint, s := range q.suspects {
-		if !s.due && now.Sub(s.notedAt) > suspectedFor && !s.recorded() {
+		if !s.persist && now.Sub(s.lastCrashAt) > suspectTTL && !s.recorded() {
 			delete(q.suspects, fingerprint)
 		}
 	}
 }
 
-func (q *Quarantine) sorted() []Fingerprint {
+func (q *Quarantine) sortedFingerprints() []Fingerprint {
 	return slices.SortedFunc(maps.Keys(q.suspects), func(a, b Fingerprint) int { return cmp.Compare(a.String(), b.String()) })
 }
 
-// OnRecord takes a record that changed.
+// OnRecord handles a changed record.
 func (q *Quarantine) OnRecord(record port.Record) {
 	name, ok := parseEntryName(record.Key)
 	if !ok {
-		q.unreadable(record, errKey)
+		q.logUnreadable(record, errKey)
 		return
 	}
 	if record.Deleted {
-		q.forget(name)
+		q.removeEntry(name)
 		return
 	}
 	decoded, err := DecodeEntry(record)
 	if err != nil {
-		q.unreadable(record, err)
+		q.logUnreadable(record, err)
 		return
 	}
-	if q.void(name.fingerprint, decoded.At) {
-		q.remove(name)
+	if q.isVoid(name.fingerprint, decoded.At) {
+		q.deleteRecord(name)
 		return
 	}
 	s := q.suspect(name.fingerprint)
 	held := s.held()
 	s.route, s.tenant = decoded.Route, decoded.Tenant
-	s.entries(name.kind)[name.which] = &entry{at: decoded.At, recorded: true}
-	q.noteHeld(name.fingerprint, s, held)
+	s.entries(name.kind)[name.id] = &entry{at: decoded.At, recorded: true}
+	q.logQuarantined(name.fingerprint, s, held)
 }
 
-func (q *Quarantine) unreadable(record port.Record, err error) {
+func (q *Quarantine) logUnreadable(record port.Record, err error) {
 	q.options.Queue.Log(event.RecordUnreadable, "table", record.Table, "key", record.Key, "error", err.Error())
 }
 
-// OnList notes which records stand, of those of all partitions: what is not among them is gone.
+// OnList handles a full read of the shared table and removes entries whose records are gone.
 func (q *Quarantine) OnList(records []port.Record) {
 	listed := map[port.RecordKey]bool{}
 	for _, record := range records {
 		listed[record.RecordKey] = true
 	}
-	for _, fingerprint := range q.sorted() {
+	for _, fingerprint := range q.sortedFingerprints() {
 		s := q.suspects[fingerprint]
 		for _, name := range s.names(fingerprint) {
-			if s.entries(name.kind)[name.which].recorded && !listed[name.key()] {
-				q.forget(name)
+			if s.entries(name.kind)[name.id].recorded && !listed[name.key()] {
+				q.removeEntry(name)
 			}
 		}
 	}
 }
 
-// forget drops an entry whose record is gone.
-func (q *Quarantine) forget(name entryName) {
+// removeEntry removes an entry whose record is gone.
+func (q *Quarantine) removeEntry(name entryName) {
 	s := q.suspects[name.fingerprint]
 	if s == nil {
 		return
 	}
 	held := s.held()
-	delete(s.entries(name.kind), name.which)
+	delete(s.entries(name.kind), name.id)
 	if held && !s.held() {
 		q.options.Queue.Log(event.QuarantineLifted, "fingerprint", name.fingerprint.String(), "route", s.route)
 	}
@@ -213,17 +215,17 @@
 	}
 }
 
-// Collect deletes the records of a request that is suspected no more; one node is enough.
+// Collect deletes the records of one expired request. One collecting node is enough.
 func (q *Quarantine) Collect(now time.Time) {
 	if q.writing || now.Before(q.collectAt) {
 		return
 	}
-	q.collectAt = now.Add(collectEvery)
+	q.collectAt = now.Add(collectInterval)
 	clock := q.options.StoreClock(now)
-	for _, fingerprint := range q.sorted() {
-		if s := q.suspects[fingerprint]; s.over(clock) && s.recorded() {
+	for _, fingerprint := range q.sortedFingerprints() {
+		if s := q.suspects[fingerprint]; s.expired(clock) && s.recorded() {
 			for _, name := range s.names(fingerprint) {
-				q.remove(name)
+				q.deleteRecord(name)
 			}
 			delete(q.suspects, fingerprint)
 			q.write(now)
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -12,49 +12,48 @@
 
 var epoch = time.Unix(1000, 0)
 
-// bench drives the quarantines of nodes that share a store, without time between a call and its
-// answer.
-type bench struct {
+// testCluster drives the quarantines of several nodes with a shared store and immediate responses.
+type testCluster struct {
 	now     time.Time
 	records *model.Records
 	nodes   []*node
-	// status, unless it is RecordDone, answers every transaction in the store's place.
+	// status, unless it is RecordDone, is returned for every transaction in place of the store's result.
 	status port.RecordStatus
 }
 
 type node struct {
 	*Quarantine
 	queue *task.Queue
-	// heard is the revision up to which the node has heard of changes.
-	heard   int64
-	commits int
+	// revision is the last revision of the shared table that the node has seen.
+	revision int64
+	commits  int
 }
 
-func newBench(nodes int) *bench {
-	b := &bench{now: epoch, records: model.NewRecords(epoch, model.RecordsOptions{}), status: port.RecordDone}
+func newTestCluster(nodes int) *testCluster {
+	c := &testCluster{now: epoch, records: model.NewRecords(epoch, model.RecordsOptions{}), status: port.RecordDone}
 	for i := range nodes {
 		queue := &task.Queue{}
-		b.nodes = append(b.nodes, &node{queue: queue, Quarantine: New(Options{
+		c.nodes = append(c.nodes, &node{queue: queue, Quarantine: New(Options{
 			Self: fmt.Sprint("node-", i), Queue: queue, StoreClock: func(at time.Time) time.Duration { return at.Sub(epoch) },
 		})})
 	}
-	return b
+	return c
 }
 
-// settle ticks all nodes until nothing is left to be written or heard.
-func (b *bench) settle() {
+// settle ticks all nodes until nothing is left to write, and syncs them with the store.
+func (c *testCluster) settle() {
 	for range 4 {
-		for _, n := range b.nodes {
-			n.Tick(b.now)
-			b.perform(n)
+		for _, n := range c.nodes {
+			n.Tick(c.now)
+			c.execute(n)
 		}
 	}
-	for _, n := range b.nodes {
-		b.hear(n)
+	for _, n := range c.nodes {
+		c.sync(n)
 	}
 }
 
-func (b *bench) perform(n *node) {
+func (c *testCluster) execute(n *node) {
 	for tasks := n.queue.Take(); len(tasks) > 0; tasks = n.queue.Take() {
 		for _, one := range tasks {
 			commit, ok := one.(task.Commit)
@@ -62,236 +61,236 @@
 				continue
 			}
 			n.commits++
-			result := port.RecordResult{Status: b.status}
-			if b.status == port.RecordDone {
-				result = b.records.Commit(b.now, commit.Transaction)
+			result := port.RecordResult{Status: c.status}
+			if c.status == port.RecordDone {
+				result = c.records.Commit(c.now, commit.Transaction)
 			}
-			commit.Done(b.now, result)
+			commit.Done(c.now, result)
 		}
 	}
 }
 
-func (b *bench) hear(n *node) {
-	result, _ := b.records.Changes(b.now, port.SharedTable, n.heard)
+func (c *testCluster) sync(n *node) {
+	result, _ := c.records.Changes(c.now, port.SharedTable, n.revision)
 	for _, record := range result.Records {
 		n.OnRecord(record)
 	}
-	n.heard = result.Revision
+	n.revision = result.Revision
 }
 
-// rows returns how many records there are.
-func (b *bench) rows() int {
-	return len(b.records.Range(b.now, port.RecordRange{Table: port.SharedTable, Partition: Partition}).Records)
+// rows returns the number of records.
+func (c *testCluster) rows() int {
+	return len(c.records.Range(c.now, port.RecordRange{Table: port.SharedTable, Partition: Partition}).Records)
 }
 
-func (b *bench) states(request Request) []State {
+func (c *testCluster) states(request Request) []State {
 	var states []State
-	for _, n := range b.nodes {
-		states = append(states, n.Judge(b.now, request.Fingerprint).State)
+	for _, n := range c.nodes {
+		states = append(states, n.Judge(c.now, request.Fingerprint).State)
 	}
 	return states
 }
 
-func (b *bench) expect(t *testing.T, when string, request Request, want State) {
+func (c *testCluster) expect(t *testing.T, when string, request Request, want State) {
 	t.Helper()
-	for i, state := range b.states(request) {
+	for i, state := range c.states(request) {
 		if state != want {
-			t.Errorf("%s: node %d says %d, should be %d", when, i, state, want)
+			t.Errorf("%s: node %d returns state %d, want %d", when, i, state, want)
 		}
 	}
 }
 
-// requestOf returns a request by its body.
+// requestOf returns a request with a given body.
 func requestOf(body string) Request {
 	call := Call{Method: "POST", Host: "h", Target: "/a", Body: []byte(body)}
 	return Request{Fingerprint: call.Fingerprint(), Route: "r", Tenant: "t"}
 }
 
-// crash has a request crash replicas at the nodes in turn.
-func (b *bench) crash(request Request, replicas ...string) {
+// crash reports crashes of a request on replicas, by each node in turn.
+func (c *testCluster) crash(request Request, replicas ...string) {
 	for i, replica := range replicas {
-		n := b.nodes[i%len(b.nodes)]
-		n.Crashed(b.now, request, replica)
-		b.perform(n)
+		n := c.nodes[i%len(c.nodes)]
+		n.Crashed(c.now, request, replica)
+		c.execute(n)
 	}
-	b.settle()
+	c.settle()
 }
 
 func TestCrashesOfAllNodesCount(t *testing.T) {
-	b := newBench(3)
+	c := newTestCluster(3)
 	request := requestOf("poison")
-	b.crash(request, "r1", "r2")
-	b.expect(t, "after two crashes", request, Clear)
-	b.crash(request, "r1")
-	b.expect(t, "after a crash that two nodes saw", request, Clear)
-	b.crash(request, "r3")
-	b.expect(t, "after three crashes", request, Held)
-	b.expect(t, "another request", requestOf("harmless"), Clear)
-	if left := b.nodes[1].Judge(b.now, request.Fingerprint).Left; left != trialAfter[0] {
-		t.Errorf("held for %s, should be %s", left, trialAfter[0])
+	c.crash(request, "r1", "r2")
+	c.expect(t, "after two crashes", request, Clear)
+	c.crash(request, "r1")
+	c.expect(t, "after a crash that two nodes saw", request, Clear)
+	c.crash(request, "r3")
+	c.expect(t, "after three crashes", request, Held)
+	c.expect(t, "another request", requestOf("harmless"), Clear)
+	if left := c.nodes[1].Judge(c.now, request.Fingerprint).Left; left != trialDelays[0] {
+		t.Errorf("held for %s, want %s", left, trialDelays[0])
 	}
-	late := newBench(1)
-	late.records = b.records
-	late.hear(late.nodes[0])
+	late := newTestCluster(1)
+	late.records = c.records
+	late.sync(late.nodes[0])
 	late.expect(t, "a node that starts later", request, Held)
 }
 
 func TestAnsweredRequestsAreNoSuspects(t *testing.T) {
-	b := newBench(2)
+	c := newTestCluster(2)
 	request := requestOf("bystander")
-	b.crash(request, "r1", "r2")
-	b.nodes[1].Answered(b.now, request.Fingerprint)
-	b.settle()
-	if rows := b.rows(); rows != 0 {
-		t.Errorf("%d records are left of a request that was answered", rows)
+	c.crash(request, "r1", "r2")
+	c.nodes[1].Answered(c.now, request.Fingerprint)
+	c.settle()
+	if rows := c.rows(); rows != 0 {
+		t.Errorf("%d records left for an answered request", rows)
 	}
-	// All replicas of a service end together, and each had the request that all callers repeat.
-	b.now = b.now.Add(answeredFor / 2)
-	b.nodes[0].Answered(b.now, request.Fingerprint)
-	b.crash(request, "r3", "r4", "r5", "r6")
-	b.expect(t, "a request that is answered all the time", request, Clear)
-	b.now = b.now.Add(3 * answeredFor)
-	b.crash(request, "r7", "r8", "r9")
-	b.expect(t, "one that was answered long ago", request, Held)
+	// All replicas of a service crash together while running a request that all callers repeat.
+	c.now = c.now.Add(answeredTTL / 2)
+	c.nodes[0].Answered(c.now, request.Fingerprint)
+	c.crash(request, "r3", "r4", "r5", "r6")
+	c.expect(t, "a frequently answered request", request, Clear)
+	c.now = c.now.Add(3 * answeredTTL)
+	c.crash(request, "r7", "r8", "r9")
+	c.expect(t, "a request answered long ago", request, Held)
 }
 
 func TestOneNodeTriesAHeldRequest(t *testing.T) {
-	b := newBench(3)
+	c := newTestCluster(3)
 	request := requestOf("poison")
-	b.crash(request, "r1", "r2", "r3")
-	for number, after := range trialAfter {
-		b.now = b.now.Add(after - time.Second)
-		b.expect(t, "before the trial", request, Held)
-		b.now = b.now.Add(time.Second)
-		b.expect(t, "at the trial", request, OnTrial)
+	c.crash(request, "r1", "r2", "r3")
+	for number, after := range trialDelays {
+		c.now = c.now.Add(after - time.Second)
+		c.expect(t, "before the trial", request, Held)
+		c.now = c.now.Add(time.Second)
+		c.expect(t, "at the trial", request, OnTrial)
 		granted := 0
-		for _, n := range b.nodes {
-			n.Claim(b.now, request.Fingerprint, func(_ time.Time, yes bool) {
+		for _, n := range c.nodes {
+			n.Claim(c.now, request.Fingerprint, func(_ time.Time, yes bool) {
 				if yes {
 					granted++
 				}
 			})
-			b.perform(n)
+			c.execute(n)
 		}
 		if granted != 1 {
-			t.Errorf("trial %d was granted to %d nodes", number, granted)
+			t.Errorf("trial %d granted to %d nodes", number, granted)
 		}
-		b.settle()
-		b.expect(t, "during the trial", request, Held)
-		b.crash(request, fmt.Sprint("trial-", number))
+		c.settle()
+		c.expect(t, "during the trial", request, Held)
+		c.crash(request, fmt.Sprint("trial-", number))
 	}
-	b.now = b.now.Add(keptFor - time.Second)
-	b.expect(t, "after all trials", request, Held)
+	c.now = c.now.Add(quarantineTTL - time.Second)
+	c.expect(t, "after all trials", request, Held)
 }
 
-func TestATrialThatIsAnsweredLiftsTheQuarantine(t *testing.T) {
-	b := newBench(3)
+func TestAnsweredTrialLiftsQuarantine(t *testing.T) {
+	c := newTestCluster(3)
 	request := requestOf("mended")
-	b.crash(request, "r1", "r2", "r3")
-	b.now = b.now.Add(trialAfter[0])
-	b.nodes[2].Claim(b.now, request.Fingerprint, func(time.Time, bool) {})
-	b.settle()
-	b.nodes[2].Answered(b.now, request.Fingerprint)
-	b.settle()
-	b.expect(t, "after the answer", request, Clear)
-	if rows := b.rows(); rows != 0 {
-		t.Errorf("%d records are left", rows)
+	c.crash(request, "r1", "r2", "r3")
+	c.now = c.now.Add(trialDelays[0])
+	c.nodes[2].Claim(c.now, request.Fingerprint, func(time.Time, bool) {})
+	c.settle()
+	c.nodes[2].Answered(c.now, request.Fingerprint)
+	c.settle()
+	c.expect(t, "after the answer", request, Clear)
+	if rows := c.rows(); rows != 0 {
+		t.Errorf("%d records left", rows)
 	}
 }
 
 func TestCrashesAreWrittenOnceTheStoreAnswers(t *testing.T) {
-	b := newBench(2)
+	c := newTestCluster(2)
 	request := requestOf("poison")
-	b.status = port.RecordRefused
+	c.status = port.RecordRefused
 	for range 40 {
-		b.crash(request, "r1", "r2", "r3")
-		b.now = b.now.Add(25 * time.Millisecond)
+		c.crash(request, "r1", "r2", "r3")
+		c.now = c.now.Add(25 * time.Millisecond)
 	}
-	if commits := b.nodes[0].commits; commits > 6 {
-		t.Errorf("%d calls in a second to a store that refuses", commits)
+	if commits := c.nodes[0].commits; commits > 6 {
+		t.Errorf("%d calls in a second to a refusing store", commits)
 	}
-	b.status = port.RecordDone
-	b.now = b.now.Add(writeRetry)
-	b.settle()
-	b.expect(t, "once the store answers", request, Held)
+	c.status = port.RecordDone
+	c.now = c.now.Add(writeRetryDelay)
+	c.settle()
+	c.expect(t, "once the store answers", request, Held)
 }
 
 func TestFirstCrashesOfOwnedRequestsStayAtTheirNode(t *testing.T) {
-	b := newBench(1)
+	c := newTestCluster(1)
 	request := requestOf("item")
 	request.Owned = true
-	b.crash(request, "r1")
-	if rows := b.rows(); rows != 0 {
-		t.Errorf("%d records of a first crash", rows)
+	c.crash(request, "r1")
+	if rows := c.rows(); rows != 0 {
+		t.Errorf("%d records after a first crash, want none", rows)
 	}
-	b.crash(request, "r2")
-	if rows := b.rows(); rows != 2 {
-		t.Errorf("%d records of two crashes", rows)
+	c.crash(request, "r2")
+	if rows := c.rows(); rows != 2 {
+		t.Errorf("%d records after two crashes, want 2", rows)
 	}
 }
 
 func TestOldSuspectsAreCollected(t *testing.T) {
-	b := newBench(2)
+	c := newTestCluster(2)
 	suspected, held := requestOf("bystander"), requestOf("poison")
-	b.crash(suspected, "r1")
-	b.crash(held, "r1", "r2", "r3")
+	c.crash(suspected, "r1")
+	c.crash(held, "r1", "r2", "r3")
 	collect := func() {
 		for range 4 {
-			b.now = b.now.Add(collectEvery)
-			b.nodes[0].Collect(b.now)
-			b.settle()
+			c.now = c.now.Add(collectInterval)
+			c.nodes[0].Collect(c.now)
+			c.settle()
 		}
 	}
 	collect()
-	if rows := b.rows(); rows != 4 {
-		t.Errorf("%d records, should be 4", rows)
+	if rows := c.rows(); rows != 4 {
+		t.Errorf("%d records, want 4", rows)
 	}
-	b.now = b.now.Add(suspectedFor)
+	c.now = c.now.Add(suspectTTL)
 	collect()
-	if rows := b.rows(); rows != 3 {
-		t.Errorf("%d records once the suspect is old, should be 3", rows)
+	if rows := c.rows(); rows != 3 {
+		t.Errorf("%d records after the suspect has expired, want 3", rows)
 	}
-	b.now = b.now.Add(keptFor)
+	c.now = c.now.Add(quarantineTTL)
 	collect()
-	if rows := b.rows(); rows != 0 {
-		t.Errorf("%d records are left", rows)
+	if rows := c.rows(); rows != 0 {
+		t.Errorf("%d records left", rows)
 	}
-	b.expect(t, "after the collection", held, Clear)
+	c.expect(t, "after the collection", held, Clear)
 }
 
-func TestAWholeReadForgetsWhatIsGone(t *testing.T) {
-	b := newBench(1)
+func TestFullReadRemovesMissingRecords(t *testing.T) {
+	c := newTestCluster(1)
 	request := requestOf("poison")
-	b.crash(request, "r1", "r2", "r3")
-	whole := b.records.Range(b.now, port.RecordRange{Table: port.SharedTable, Partition: Partition}).Records
-	b.nodes[0].OnList(whole)
-	b.expect(t, "while its records stand", request, Held)
-	b.nodes[0].OnList(whole[:2])
-	b.expect(t, "when one is gone that no watch told of", request, Clear)
+	c.crash(request, "r1", "r2", "r3")
+	whole := c.records.Range(c.now, port.RecordRange{Table: port.SharedTable, Partition: Partition}).Records
+	c.nodes[0].OnList(whole)
+	c.expect(t, "while its records exist", request, Held)
+	c.nodes[0].OnList(whole[:2])
+	c.expect(t, "after a record has disappeared between two reads", request, Clear)
 }
 
 func TestReports(t *testing.T) {
-	b := newBench(1)
-	b.crash(requestOf("poison"), "r1", "r2", "r3")
-	b.now = b.now.Add(30 * time.Second)
-	reports := b.nodes[0].Reports(b.now)
+	c := newTestCluster(1)
+	c.crash(requestOf("poison"), "r1", "r2", "r3")
+	c.now = c.now.Add(30 * time.Second)
+	reports := c.nodes[0].Reports(c.now)
 	want := Report{
-		Request: requestOf("poison").Fingerprint.String(), Route: "r", Tenant: "t", Crashes: 3, Verdict: Verdict{State: Held, Left: trialAfter[0] - 30*time.Second},
+		Request: requestOf("poison").Fingerprint.String(), Route: "r", Tenant: "t", Crashes: 3, Verdict: Verdict{State: Held, Left: trialDelays[0] - 30*time.Second},
 	}
 	if len(reports) != 1 || reports[0] != want {
-		t.Errorf("%+v, should be %+v", reports, want)
+		t.Errorf("got %+v, want %+v", reports, want)
 	}
-	if figures := b.nodes[0].Figures(); figures != (Figures{Crashes: 3, Suspects: 1, Held: 1}) {
+	if figures := c.nodes[0].Figures(); figures != (Figures{Crashes: 3, Suspects: 1, Held: 1}) {
 		t.Errorf("%+v", figures)
 	}
 }
 
-func TestUnreadableRecordsArePassedOver(t *testing.T) {
-	b := newBench(1)
+func TestUnreadableRecordsAreIgnored(t *testing.T) {
+	c := newTestCluster(1)
 	for _, key := range []string{"", "x", "zz/crash/r", "00/crash/r"} {
-		b.nodes[0].OnRecord(port.Record{RecordKey: port.RecordKey{Table: port.SharedTable, Partition: Partition, Key: key}, Revision: 1})
+		c.nodes[0].OnRecord(port.Record{RecordKey: port.RecordKey{Table: port.SharedTable, Partition: Partition, Key: key}, Revision: 1})
 	}
-	if suspects := b.nodes[0].Figures().Suspects; suspects != 0 {
-		t.Errorf("%d suspects of records that name none", suspects)
+	if suspects := c.nodes[0].Figures().Suspects; suspects != 0 {
+		t.Errorf("%d suspects from invalid records, want none", suspects)
 	}
 }
--- a/internal/process/quarantine/report.go
+++ b/internal/process/quarantine/report.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Figures tell what this node knows.
+// Figures are the node's quarantine statistics.
 type Figures struct {
-	// Crashes counts the replicas that ended while this node had a request there, once for each
-	// request; Suspects and Held are the requests that are suspected, and held, at present.
+	// Crashes counts replica crashes, once for each of this node's requests on the replica. Suspects and
+	// Held are the current numbers of suspected and held requests.
 	Crashes, Suspects, Held int
 }
 
-// Figures returns the node's figures.
+// Figures returns the quarantine statistics.
 func (q *Quarantine) Figures() Figures {
 	figures := Figures{Crashes: q.crashes, Suspects: len(q.suspects)}
 	for _, s := range q.suspects {
@@ -20,24 +20,24 @@
 	return figures
 }
 
-// Report is a suspected request as operators see it.
+// Report describes a suspected request to operators.
 type Report struct {
 	Request, Route, Tenant string
-	// Crashes and Trials count its replicas that ended, and its trials.
+	// Crashes counts the crashed replicas, Trials the trials.
 	Crashes, Trials int
 	Verdict         Verdict
-	// Last is when the last crash or trial was, by the record store's clock.
+	// Last is the time of the last crash or trial by the record store's clock.
 	Last time.Duration
 }
 
-// Reports returns all suspects in the order of their fingerprints.
+// Reports returns all suspects ordered by fingerprint.
 func (q *Quarantine) Reports(now time.Time) []Report {
 	var reports []Report
-	for _, fingerprint := range q.sorted() {
+	for _, fingerprint := range q.sortedFingerprints() {
 		s := q.suspects[fingerprint]
 		reports = append(reports, Report{
 			Request: fingerprint.String(), Route: s.route, Tenant: s.tenant, Crashes: len(s.crashes), Trials: len(s.trials),
-			Verdict: q.Judge(now, fingerprint), Last: s.last(),
+			Verdict: q.Judge(now, fingerprint), Last: s.lastEventAt(),
 		})
 	}
 	return reports
--- a/internal/process/quarantine/suspect.go
+++ b/internal/process/quarantine/suspect.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// suspect is a request that was at replicas that ended.
+// suspect is a request that was running on replicas that crashed.
 type suspect struct {
 	route, tenant string
-	// crashes holds the crashes by the replicas' IDs, trials the trials by their numbers.
+	// crashes holds the crashes by replica ID, trials the trials by number.
 	crashes, trials map[string]*entry
-	// due says that the crashes are to be written.
-	due bool
-	// notedAt is when this node last noted a crash.
-	notedAt time.Time
+	// persist is set if the crashes must be written to the store.
+	persist bool
+	// lastCrashAt is when this node last recorded a crash.
+	lastCrashAt time.Time
 }
 
-// entry is a record, or one that is to be written.
+// entry is a crash or a trial, with or without a record.
 type entry struct {
 	at       time.Duration
 	recorded bool
 }
 
-// entries returns those of a kind.
+// entries returns the entries of a kind.
 func (s *suspect) entries(kind entryKind) map[string]*entry {
 	if kind == trialEntry {
 		return s.trials
@@ -31,19 +31,19 @@
 	return s.crashes
 }
 
-// names returns the names of all entries, in their order.
+// names returns the names of all entries in sorted order.
 func (s *suspect) names(fingerprint Fingerprint) []entryName {
 	var names []entryName
 	for _, kind := range []entryKind{crashEntry, trialEntry} {
-		for _, which := range slices.Sorted(maps.Keys(s.entries(kind))) {
-			names = append(names, entryName{fingerprint, kind, which})
+		for _, id := range slices.Sorted(maps.Keys(s.entries(kind))) {
+			names = append(names, entryName{fingerprint, kind, id})
 		}
 	}
 	return names
 }
 
-// last returns when the last crash or trial was.
-func (s *suspect) last() time.Duration {
+// lastEventAt returns the time of the last crash or trial.
+func (s *suspect) lastEventAt() time.Duration {
 	last := time.Duration(0)
 	for _, kind := range []entryKind{crashEntry, trialEntry} {
 		for _, one := range s.entries(kind) {
@@ -55,13 +55,13 @@
 
 func (s *suspect) held() bool { return len(s.crashes) >= CrashLimit }
 
-// over reports whether a suspect's records are of no use any more.
-func (s *suspect) over(clock time.Duration) bool {
-	age := clock - s.last()
-	return age > keptFor || !s.held() && age > suspectedFor
+// expired reports whether a suspect's entries no longer count.
+func (s *suspect) expired(clock time.Duration) bool {
+	age := clock - s.lastEventAt()
+	return age > quarantineTTL || !s.held() && age > suspectTTL
 }
 
-// recorded reports whether a record tells of the suspect.
+// recorded reports whether any entry has a record.
 func (s *suspect) recorded() bool {
 	for _, kind := range []entryKind{crashEntry, trialEntry} {
 		for _, one := range s.entries(kind) {
--- a/internal/process/quarantine/write.go
+++ b/internal/process/quarantine/write.go
@@ -13,30 +13,30 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// remove has a record deleted.
-func (q *Quarantine) remove(name entryName) {
+// deleteRecord schedules the deletion of a record.
+func (q *Quarantine) deleteRecord(name entryName) {
 	q.removals[name.key()] = true
-	q.unwritten = true
+	q.dirty = true
 }
 
 func (q *Quarantine) record(name entryName, s *suspect, at time.Duration) port.Record {
 	value, err := proto.Marshal(&doorstepv1.QuarantineEntry{AtMs: at.Milliseconds(), Route: s.route, Tenant: s.tenant, Node: q.options.Self})
 	if err != nil {
-		panic("an entry must encode: " + err.Error())
+		panic("marshal quarantine entry: " + err.Error())
 	}
 	return port.Record{RecordKey: name.key(), Value: value}
 }
 
-// write writes the crashes that are due and deletes the records of requests that were answered.
-// Neither has a condition: a repeat, or one that takes effect late, changes nothing.
+// write stores the pending crashes and deletes the pending records. No precondition is needed, as repeated and
+// late writes have no further effect.
 func (q *Quarantine) write(now time.Time) {
-	if !q.unwritten || q.writing || now.Before(q.retryAt) {
+	if !q.dirty || q.writing || now.Before(q.retryAt) {
 		return
 	}
 	puts, written := q.duePuts()
-	deletes := q.dueDeletes(entriesAtOnce - len(puts))
+	deletes := q.dueDeletes(maxTransactionEntries - len(puts))
 	if len(puts)+len(deletes) == 0 {
-		q.unwritten = false
+		q.dirty = false
 		return
 	}
 	q.writing = true
@@ -45,7 +45,7 @@
 		Done: func(now time.Time, result port.RecordResult) {
 			q.writing = false
 			if result.Status != port.RecordDone {
-				q.retryAt = now.Add(writeRetry)
+				q.retryAt = now.Add(writeRetryDelay)
 				return
 			}
 			for _, one := range written {
@@ -59,16 +59,16 @@
 	})
 }
 
-// duePuts returns the next records to be written, with their entries.
+// duePuts returns the next records to write, with their entries.
 func (q *Quarantine) duePuts() (puts []port.Record, written []*entry) {
-	for _, fingerprint := range q.sorted() {
+	for _, fingerprint := range q.sortedFingerprints() {
 		s := q.suspects[fingerprint]
-		if !s.due {
+		if !s.persist {
 			continue
 		}
 		for _, name := range s.names(fingerprint) {
-			one := s.entries(name.kind)[name.which]
-			if len(puts) == entriesAtOnce {
+			one := s.entries(name.kind)[name.id]
+			if len(puts) == maxTransactionEntries {
 				return puts, written
 			}
 			if !one.recorded {
@@ -80,7 +80,7 @@
 	return puts, written
 }
 
-// dueDeletes returns the next records to be deleted, some at the most.
+// dueDeletes returns at most some number of records to delete.
 func (q *Quarantine) dueDeletes(most int) []port.RecordKey {
 	keys := slices.SortedFunc(maps.Keys(q.removals), func(a, b port.RecordKey) int { return cmp.Compare(a.Key, b.Key) })
 	return keys[:min(len(keys), most)]
