--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -23,7 +23,7 @@
 	served := false
 	x.agent.do(func(now time.Time) {
 		served = x.agent.node.Served(x.route, x.caller.Tenant)
-		verdict = x.agent.node.Quarantine().Judge(now, x.asked.Fingerprint)
+		verdict = x.agent.node.Quarantine().Check(now, x.asked.Fingerprint)
 	})
 	if !served {
 		x.refuseUnserved(w)
@@ -71,7 +71,7 @@
 // quarantined reports whether the request may not be sent to another replica, as it has crashed
 // enough of them since it was let through.
 func (x *exchange) quarantined(now time.Time) bool {
-	return !x.onTrial && x.agent.node.Quarantine().Judge(now, x.asked.Fingerprint).State != quarantine.Clear
+	return !x.onTrial && x.agent.node.Quarantine().Check(now, x.asked.Fingerprint).State != quarantine.Clear
 }
 
 // noteRun tells the quarantine how the request fared at a replica.
--- a/internal/process/quarantine/judge.go
+++ b/internal/process/quarantine/judge.go
@@ -35,8 +35,8 @@
 	return 0
 }
 
-// Judge returns whether a request may be sent to replicas.
-func (q *Quarantine) Judge(now time.Time, fingerprint Fingerprint) Verdict {
+// Check returns whether a request may be sent to replicas.
+func (q *Quarantine) Check(now time.Time, fingerprint Fingerprint) Verdict {
 	s := q.suspects[fingerprint]
 	if s == nil || !s.held() {
 		return Verdict{}
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -86,7 +86,7 @@
 func (c *testCluster) states(request Request) []State {
 	var states []State
 	for _, n := range c.nodes {
-		states = append(states, n.Judge(c.now, request.Fingerprint).State)
+		states = append(states, n.Check(c.now, request.Fingerprint).State)
 	}
 	return states
 }
@@ -126,7 +126,7 @@
 	c.crash(request, "r3")
 	c.expect(t, "after three crashes", request, Held)
 	c.expect(t, "another request", requestOf("harmless"), Clear)
-	if left := c.nodes[1].Judge(c.now, request.Fingerprint).Left; left != trialDelays[0] {
+	if left := c.nodes[1].Check(c.now, request.Fingerprint).Left; left != trialDelays[0] {
 		t.Errorf("held for %s, want %s", left, trialDelays[0])
 	}
 	late := newTestCluster(1)
--- a/internal/process/quarantine/report.go
+++ b/internal/process/quarantine/report.go
@@ -37,7 +37,7 @@
 		s := q.suspects[fingerprint]
 		reports = append(reports, Report{
 			Request: fingerprint.String(), Route: s.route, Tenant: s.tenant, Crashes: len(s.crashes), Trials: len(s.trials),
-			Verdict: q.Judge(now, fingerprint), Last: s.lastEventAt(),
+			Verdict: q.Check(now, fingerprint), Last: s.lastEventAt(),
 		})
 	}
 	return reports
--- a/internal/version/batch/quarantine.go
+++ b/internal/version/batch/quarantine.go
@@ -19,7 +19,7 @@
 	if t.granted {
 		return true
 	}
-	switch o.jobs.options.Quarantine.Judge(now, request.Fingerprint).State {
+	switch o.jobs.options.Quarantine.Check(now, request.Fingerprint).State {
 	case quarantine.Clear:
 		return true
 	case quarantine.OnTrial:
