--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -19,7 +19,7 @@
 // as many replicas at each arrival as its route allows attempts: 18 in 12 arrivals at three nodes,
 // three at the most with it (TestCrashingRequestsAreKeptFromReplicas).
 func (x *exchange) letThrough(w http.ResponseWriter) bool {
-	var verdict quarantine.Verdict
+	var verdict quarantine.Decision
 	served := false
 	x.agent.do(func(now time.Time) {
 		served = x.agent.node.Served(x.route, x.caller.Tenant)
--- a/internal/process/quarantine/judge.go
+++ b/internal/process/quarantine/judge.go
@@ -20,8 +20,8 @@
 	OnTrial
 )
 
-// Verdict is the decision on a request.
-type Verdict struct {
+// Decision is the decision on a request.
+type Decision struct {
 	State State
 	// Left is the remaining time for which the request is held.
 	Left time.Duration
@@ -36,10 +36,10 @@
 }
 
 // Check returns whether a request may be sent to replicas.
-func (q *Quarantine) Check(now time.Time, fingerprint Fingerprint) Verdict {
+func (q *Quarantine) Check(now time.Time, fingerprint Fingerprint) Decision {
 	s := q.suspects[fingerprint]
 	if s == nil || !s.held() {
-		return Verdict{}
+		return Decision{}
 	}
 	wait := quarantineTTL
 	if len(s.trials) < len(trialDelays) {
@@ -48,11 +48,11 @@
 	left := s.lastEventAt() + wait - q.options.StoreClock(now)
 	switch {
 	case left > 0:
-		return Verdict{State: Held, Left: left}
+		return Decision{State: Held, Left: left}
 	case len(s.trials) < len(trialDelays):
-		return Verdict{State: OnTrial}
+		return Decision{State: OnTrial}
 	}
-	return Verdict{}
+	return Decision{}
 }
 
 // Claim claims the next trial of a request for this node. Each trial is granted once, as its record must not
--- a/internal/process/quarantine/report.go
+++ b/internal/process/quarantine/report.go
@@ -25,7 +25,7 @@
 	Request, Route, Tenant string
 	// Crashes counts the crashed replicas, Trials the trials.
 	Crashes, Trials int
-	Verdict         Verdict
+	Verdict         Decision
 	// Last is the time of the last crash or trial by the record store's clock.
 	Last time.Duration
 }
