--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -102,7 +102,7 @@
 	for _, one := range known.Reports(time.Time{}) {
 		rows = append(rows, []string{
 			one.Request, one.Route, one.Tenant, number(one.Crashes), number(one.Trials), quarantineStates[one.Verdict.State],
-			number(int(one.Verdict.Left.Seconds())), number(int((g.clock - one.Last).Seconds())),
+			number(int(one.Verdict.Remaining.Seconds())), number(int((g.clock - one.Last).Seconds())),
 		})
 	}
 	return rows
--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -31,7 +31,7 @@
 	}
 	switch verdict.State {
 	case quarantine.Held:
-		x.refuseQuarantined(w, verdict.Left)
+		x.refuseQuarantined(w, verdict.Remaining)
 		return false
 	case quarantine.OnTrial:
 		// A trial that no replica can have would be spent, and the next is minutes away.
--- a/internal/process/quarantine/judge.go
+++ b/internal/process/quarantine/judge.go
@@ -23,8 +23,8 @@
 // Decision is the decision on a request.
 type Decision struct {
 	State State
-	// Left is the remaining time for which the request is held.
-	Left time.Duration
+	// Remaining is the remaining time for which the request is held.
+	Remaining time.Duration
 }
 
 // Crashes returns the number of counted replica crashes of a request.
@@ -48,7 +48,7 @@
 	left := s.lastEventAt() + wait - q.options.StoreClock(now)
 	switch {
 	case left > 0:
-		return Decision{State: Held, Left: left}
+		return Decision{State: Held, Remaining: left}
 	case len(s.trials) < len(trialDelays):
 		return Decision{State: OnTrial}
 	}
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -126,7 +126,7 @@
 	c.crash(request, "r3")
 	c.expect(t, "after three crashes", request, Held)
 	c.expect(t, "another request", requestOf("harmless"), Clear)
-	if left := c.nodes[1].Check(c.now, request.Fingerprint).Left; left != trialDelays[0] {
+	if left := c.nodes[1].Check(c.now, request.Fingerprint).Remaining; left != trialDelays[0] {
 		t.Errorf("held for %s, want %s", left, trialDelays[0])
 	}
 	late := newTestCluster(1)
@@ -275,7 +275,7 @@
 	c.now = c.now.Add(30 * time.Second)
 	reports := c.nodes[0].Reports(c.now)
 	want := Report{
-		Request: requestOf("poison").Fingerprint.String(), Route: "r", Tenant: "t", Crashes: 3, Verdict: Decision{State: Held, Left: trialDelays[0] - 30*time.Second},
+		Request: requestOf("poison").Fingerprint.String(), Route: "r", Tenant: "t", Crashes: 3, Verdict: Decision{State: Held, Remaining: trialDelays[0] - 30*time.Second},
 	}
 	if len(reports) != 1 || reports[0] != want {
 		t.Errorf("got %+v, want %+v", reports, want)
