--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -89,7 +89,7 @@
 }
 
 // quarantineStates names the states of requests that crashed replicas.
-var quarantineStates = map[quarantine.State]string{quarantine.Clear: "suspected", quarantine.Held: "held", quarantine.OnTrial: "on trial"}
+var quarantineStates = map[quarantine.State]string{quarantine.Allowed: "suspected", quarantine.Held: "held", quarantine.OnTrial: "on trial"}
 
 func (g *gathering) quarantine() [][]string {
 	records := g.read(port.SharedTable, quarantine.Partition, "")
--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -41,7 +41,7 @@
 		}
 		x.onTrial = true
 		x.relay.LimitAttempts(1)
-	case quarantine.Clear:
+	case quarantine.Allowed:
 	}
 	return true
 }
@@ -71,7 +71,7 @@
 // quarantined reports whether the request may not be sent to another replica, as it has crashed
 // enough of them since it was let through.
 func (x *exchange) quarantined(now time.Time) bool {
-	return !x.onTrial && x.agent.node.Quarantine().Check(now, x.asked.Fingerprint).State != quarantine.Clear
+	return !x.onTrial && x.agent.node.Quarantine().Check(now, x.asked.Fingerprint).State != quarantine.Allowed
 }
 
 // noteRun tells the quarantine how the request fared at a replica.
--- a/internal/process/quarantine/judge.go
+++ b/internal/process/quarantine/judge.go
@@ -12,8 +12,8 @@
 type State int
 
 const (
-	// Clear requests may be sent.
-	Clear State = iota
+	// Allowed requests may be sent.
+	Allowed State = iota
 	// Held requests must not be sent.
 	Held
 	// OnTrial requests may be sent once, by the node that claims the trial.
--- a/internal/process/quarantine/lift_test.go
+++ b/internal/process/quarantine/lift_test.go
@@ -23,7 +23,7 @@
 	late := c.nodes[0].record(entryName{request.Fingerprint, crashEntry, "r4"}, c.nodes[0].suspects[request.Fingerprint], c.now.Sub(epoch))
 	c.now = c.now.Add(time.Second)
 	c.lift(request)
-	c.expect(t, "after the lift", request, Clear)
+	c.expect(t, "after the lift", request, Allowed)
 	c.expect(t, "another request", other, Held)
 	if rows := c.rows(); rows != 3 {
 		t.Errorf("%d records left, want the 3 of the other request", rows)
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -120,12 +120,12 @@
 	c := newTestCluster(3)
 	request := requestOf("poison")
 	c.crash(request, "r1", "r2")
-	c.expect(t, "after two crashes", request, Clear)
+	c.expect(t, "after two crashes", request, Allowed)
 	c.crash(request, "r1")
-	c.expect(t, "after a crash that two nodes saw", request, Clear)
+	c.expect(t, "after a crash that two nodes saw", request, Allowed)
 	c.crash(request, "r3")
 	c.expect(t, "after three crashes", request, Held)
-	c.expect(t, "another request", requestOf("harmless"), Clear)
+	c.expect(t, "another request", requestOf("harmless"), Allowed)
 	if left := c.nodes[1].Check(c.now, request.Fingerprint).Remaining; left != trialDelays[0] {
 		t.Errorf("held for %s, want %s", left, trialDelays[0])
 	}
@@ -148,7 +148,7 @@
 	c.now = c.now.Add(answeredTTL / 2)
 	c.nodes[0].Answered(c.now, request.Fingerprint)
 	c.crash(request, "r3", "r4", "r5", "r6")
-	c.expect(t, "a frequently answered request", request, Clear)
+	c.expect(t, "a frequently answered request", request, Allowed)
 	c.now = c.now.Add(3 * answeredTTL)
 	c.crash(request, "r7", "r8", "r9")
 	c.expect(t, "a request answered long ago", request, Held)
@@ -192,7 +192,7 @@
 	c.settle()
 	c.nodes[2].Answered(c.now, request.Fingerprint)
 	c.settle()
-	c.expect(t, "after the answer", request, Clear)
+	c.expect(t, "after the answer", request, Allowed)
 	if rows := c.rows(); rows != 0 {
 		t.Errorf("%d records left", rows)
 	}
@@ -255,7 +255,7 @@
 	if rows := c.rows(); rows != 0 {
 		t.Errorf("%d records left", rows)
 	}
-	c.expect(t, "after the collection", held, Clear)
+	c.expect(t, "after the collection", held, Allowed)
 }
 
 func TestFullReadRemovesMissingRecords(t *testing.T) {
@@ -266,7 +266,7 @@
 	c.nodes[0].OnList(whole)
 	c.expect(t, "while its records exist", request, Held)
 	c.nodes[0].OnList(whole[:2])
-	c.expect(t, "after a record has disappeared between two reads", request, Clear)
+	c.expect(t, "after a record has disappeared between two reads", request, Allowed)
 }
 
 func TestReports(t *testing.T) {
--- a/internal/version/batch/quarantine.go
+++ b/internal/version/batch/quarantine.go
@@ -20,7 +20,7 @@
 		return true
 	}
 	switch o.jobs.options.Quarantine.Check(now, request.Fingerprint).State {
-	case quarantine.Clear:
+	case quarantine.Allowed:
 		return true
 	case quarantine.OnTrial:
 		o.claimTrial(now, request, t)
