--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -101,8 +101,8 @@
 	var rows [][]string
 	for _, one := range known.Reports(time.Time{}) {
 		rows = append(rows, []string{
-			one.Request, one.Route, one.Tenant, number(one.Crashes), number(one.Trials), quarantineStates[one.Verdict.State],
-			number(int(one.Verdict.Remaining.Seconds())), number(int((g.clock - one.Last).Seconds())),
+			one.Request, one.Route, one.Tenant, number(one.Crashes), number(one.Trials), quarantineStates[one.Decision.State],
+			number(int(one.Decision.Remaining.Seconds())), number(int((g.clock - one.Last).Seconds())),
 		})
 	}
 	return rows
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -275,7 +275,7 @@
 	c.now = c.now.Add(30 * time.Second)
 	reports := c.nodes[0].Reports(c.now)
 	want := Report{
-		Request: requestOf("poison").Fingerprint.String(), Route: "r", Tenant: "t", Crashes: 3, Verdict: Decision{State: Held, Remaining: trialDelays[0] - 30*time.Second},
+		Request: requestOf("poison").Fingerprint.String(), Route: "r", Tenant: "t", Crashes: 3, Decision: Decision{State: Held, Remaining: trialDelays[0] - 30*time.Second},
 	}
 	if len(reports) != 1 || reports[0] != want {
 		t.Errorf("got %+v, want %+v", reports, want)
--- a/internal/process/quarantine/report.go
+++ b/internal/process/quarantine/report.go
@@ -25,7 +25,7 @@
 	Request, Route, Tenant string
 	// Crashes counts the crashed replicas, Trials the trials.
 	Crashes, Trials int
-	Verdict         Decision
+	Decision        Decision
 	// Last is the time of the last crash or trial by the record store's clock.
 	Last time.Duration
 }
@@ -37,7 +37,7 @@
 		s := q.suspects[fingerprint]
 		reports = append(reports, Report{
 			Request: fingerprint.String(), Route: s.route, Tenant: s.tenant, Crashes: len(s.crashes), Trials: len(s.trials),
-			Verdict: q.Check(now, fingerprint), Last: s.lastEventAt(),
+			Decision: q.Check(now, fingerprint), Last: s.lastEventAt(),
 		})
 	}
 	return reports
