--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -78,7 +78,7 @@
 func (x *exchange) noteRun(now time.Time, ended *attempt) {
 	switch {
 	case ended.crashed:
-		x.agent.node.Quarantine().Crashed(now, x.asked, ended.endpoint.Incarnation())
+		x.agent.node.Quarantine().RecordCrash(now, x.asked, ended.endpoint.Incarnation())
 	case ended.succeeded():
 		x.agent.node.Quarantine().Answered(now, x.asked.Fingerprint)
 	}
--- a/internal/process/quarantine/quarantine.go
+++ b/internal/process/quarantine/quarantine.go
@@ -77,8 +77,8 @@
 	Owned bool
 }
 
-// Crashed records that a replica crashed while it was running a request.
-func (q *Quarantine) Crashed(now time.Time, request Request, replica string) {
+// RecordCrash records that a replica crashed while it was running a request.
+func (q *Quarantine) RecordCrash(now time.Time, request Request, replica string) {
 	q.crashes++
 	if q.answered.has(now, request.Fingerprint) {
 		// The request is answered on other replicas, so it is not the cause of the crash.
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -110,7 +110,7 @@
 func (c *testCluster) crash(request Request, replicas ...string) {
 	for i, replica := range replicas {
 		n := c.nodes[i%len(c.nodes)]
-		n.Crashed(c.now, request, replica)
+		n.RecordCrash(c.now, request, replica)
 		c.execute(n)
 	}
 	c.settle()
--- a/internal/version/batch/move_test.go
+++ b/internal/version/batch/move_test.go
@@ -93,7 +93,7 @@
 	b.jobs.options.ExpectedTokens = func(*port.Route, http.Header, int) int { return 700 }
 	one := &b.jobs.owned["j"].items[0]
 	for i := range quarantine.CrashLimit - 1 {
-		b.jobs.options.Quarantine.Crashed(b.now, one.request, fmt.Sprint("gone-", i))
+		b.jobs.options.Quarantine.RecordCrash(b.now, one.request, fmt.Sprint("gone-", i))
 	}
 	b.jobs.apart["taken"] = 1
 	var wanted Placement
--- a/internal/version/batch/quarantine.go
+++ b/internal/version/batch/quarantine.go
@@ -78,7 +78,7 @@
 // noteCrash notes a replica that ended while it had a request of this job.
 func (o *ownedJob) noteCrash(now time.Time, request quarantine.Request, chosen *endpoint.Endpoint, crashed bool) {
 	if crashed {
-		o.jobs.options.Quarantine.Crashed(now, request, chosen.Incarnation())
+		o.jobs.options.Quarantine.RecordCrash(now, request, chosen.Incarnation())
 	}
 }
 
