--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -80,7 +80,7 @@
 	case ended.crashed:
 		x.agent.node.Quarantine().RecordCrash(now, x.asked, ended.endpoint.Incarnation())
 	case ended.succeeded():
-		x.agent.node.Quarantine().Answered(now, x.asked.Fingerprint)
+		x.agent.node.Quarantine().RecordAnswer(now, x.asked.Fingerprint)
 	}
 }
 
--- a/internal/process/quarantine/quarantine.go
+++ b/internal/process/quarantine/quarantine.go
@@ -99,8 +99,8 @@
 	q.write(now)
 }
 
-// Answered records that a replica completed a request, which clears the request.
-func (q *Quarantine) Answered(now time.Time, fingerprint Fingerprint) {
+// RecordAnswer records that a replica completed a request, which clears the request.
+func (q *Quarantine) RecordAnswer(now time.Time, fingerprint Fingerprint) {
 	q.answered.add(now, fingerprint)
 	s := q.suspects[fingerprint]
 	if s == nil {
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -139,14 +139,14 @@
 	c := newTestCluster(2)
 	request := requestOf("bystander")
 	c.crash(request, "r1", "r2")
-	c.nodes[1].Answered(c.now, request.Fingerprint)
+	c.nodes[1].RecordAnswer(c.now, request.Fingerprint)
 	c.settle()
 	if rows := c.rows(); rows != 0 {
 		t.Errorf("%d records left for an answered request", rows)
 	}
 	// All replicas of a service crash together while running a request that all callers repeat.
 	c.now = c.now.Add(answeredTTL / 2)
-	c.nodes[0].Answered(c.now, request.Fingerprint)
+	c.nodes[0].RecordAnswer(c.now, request.Fingerprint)
 	c.crash(request, "r3", "r4", "r5", "r6")
 	c.expect(t, "a frequently answered request", request, Allowed)
 	c.now = c.now.Add(3 * answeredTTL)
@@ -190,7 +190,7 @@
 	c.now = c.now.Add(trialDelays[0])
 	c.nodes[2].Claim(c.now, request.Fingerprint, func(time.Time, bool) {})
 	c.settle()
-	c.nodes[2].Answered(c.now, request.Fingerprint)
+	c.nodes[2].RecordAnswer(c.now, request.Fingerprint)
 	c.settle()
 	c.expect(t, "after the answer", request, Allowed)
 	if rows := c.rows(); rows != 0 {
--- a/internal/version/batch/item.go
+++ b/internal/version/batch/item.go
@@ -177,7 +177,7 @@
 	}
 	one.wholeAt = now
 	one.length = len(one.events)
-	o.jobs.options.Quarantine.Answered(now, one.request.Fingerprint)
+	o.jobs.options.Quarantine.RecordAnswer(now, one.request.Fingerprint)
 	o.jobs.options.Queue.Log(event.ItemCompleted, "job", o.id, "item", o.job.Items[index].Id, "group", o.job.Items[index].Group, "replica", one.endpoint, "events", len(one.events),
 		"versions", versionsOf(one.events), "runs", one.runs, "moves", one.moves, "interruptions", one.interruptions, "long", one.long,
 		"since_ms", now.Sub(one.startedAt).Milliseconds(), "last_run_events", len(last.Events), "pace_us", last.Pace.Microseconds(), "to_score", o.job.Items[index].Scoring != nil)
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -205,7 +205,7 @@
 func (o *ownedJob) scored(now time.Time, index int, chosen *endpoint.Endpoint, score string) {
 	one := &o.items[index]
 	o.stopScoring(one)
-	o.jobs.options.Quarantine.Answered(now, one.scoringRequest.Fingerprint)
+	o.jobs.options.Quarantine.RecordAnswer(now, one.scoringRequest.Fingerprint)
 	o.jobs.options.Queue.Log(event.ItemScored, "job", o.id, "item", o.job.Items[index].Id, "call", o.job.Items[index].Scoring.Id,
 		"replica", chosen.ID, "attempts", one.scoringTries, "since_whole_ms", now.Sub(one.wholeAt).Milliseconds())
 	o.finish(now, index, score)
