--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -63,7 +63,7 @@
 func (x *exchange) claimTrial() bool {
 	return wait(x.request.Context(), func(done chan<- bool) {
 		x.agent.do(func(now time.Time) {
-			x.agent.node.Quarantine().Claim(now, x.asked.Fingerprint, func(_ time.Time, granted bool) { done <- granted })
+			x.agent.node.Quarantine().ClaimTrial(now, x.asked.Fingerprint, func(_ time.Time, granted bool) { done <- granted })
 		})
 	})
 }
--- a/internal/process/quarantine/judge.go
+++ b/internal/process/quarantine/judge.go
@@ -55,9 +55,9 @@
 	return Decision{}
 }
 
-// Claim claims the next trial of a request for this node. Each trial is granted once, as its record must not
+// ClaimTrial claims the next trial of a request for this node. Each trial is granted once, as its record must not
 // exist yet. A claim without a response uses up the trial.
-func (q *Quarantine) Claim(now time.Time, fingerprint Fingerprint, done func(now time.Time, granted bool)) {
+func (q *Quarantine) ClaimTrial(now time.Time, fingerprint Fingerprint, done func(now time.Time, granted bool)) {
 	s := q.suspects[fingerprint]
 	if s == nil {
 		done(now, true)
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -165,7 +165,7 @@
 		c.expect(t, "at the trial", request, OnTrial)
 		granted := 0
 		for _, n := range c.nodes {
-			n.Claim(c.now, request.Fingerprint, func(_ time.Time, yes bool) {
+			n.ClaimTrial(c.now, request.Fingerprint, func(_ time.Time, yes bool) {
 				if yes {
 					granted++
 				}
@@ -188,7 +188,7 @@
 	request := requestOf("mended")
 	c.crash(request, "r1", "r2", "r3")
 	c.now = c.now.Add(trialDelays[0])
-	c.nodes[2].Claim(c.now, request.Fingerprint, func(time.Time, bool) {})
+	c.nodes[2].ClaimTrial(c.now, request.Fingerprint, func(time.Time, bool) {})
 	c.settle()
 	c.nodes[2].RecordAnswer(c.now, request.Fingerprint)
 	c.settle()
--- a/internal/version/batch/quarantine.go
+++ b/internal/version/batch/quarantine.go
@@ -35,7 +35,7 @@
 		return
 	}
 	t.claiming = true
-	o.jobs.options.Quarantine.Claim(now, request.Fingerprint, func(_ time.Time, granted bool) {
+	o.jobs.options.Quarantine.ClaimTrial(now, request.Fingerprint, func(_ time.Time, granted bool) {
 		*t = trial{granted: granted}
 	})
 }
