--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -280,7 +280,7 @@
 	if len(reports) != 1 || reports[0] != want {
 		t.Errorf("got %+v, want %+v", reports, want)
 	}
-	if figures := c.nodes[0].Figures(); figures != (Figures{Crashes: 3, Suspects: 1, Held: 1}) {
+	if figures := c.nodes[0].Figures(); figures != (Stats{Crashes: 3, Suspects: 1, Held: 1}) {
 		t.Errorf("%+v", figures)
 	}
 }
--- a/internal/process/quarantine/report.go
+++ b/internal/process/quarantine/report.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Figures are the node's quarantine statistics.
-type Figures struct {
+// Stats are the node's quarantine statistics.
+type Stats struct {
 	// Crashes counts replica crashes, once for each of this node's requests on the replica. Suspects and
 	// Held are the current numbers of suspected and held requests.
 	Crashes, Suspects, Held int
 }
 
 // Figures returns the quarantine statistics.
-func (q *Quarantine) Figures() Figures {
-	figures := Figures{Crashes: q.crashes, Suspects: len(q.suspects)}
+func (q *Quarantine) Figures() Stats {
+	figures := Stats{Crashes: q.crashes, Suspects: len(q.suspects)}
 	for _, s := range q.suspects {
 		if s.held() {
 			figures.Held++
