--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -114,13 +114,13 @@
 		Help: "Replicas that ended while a request of this node ran there, once for each request."}, func() float64 {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return float64(a.node.Quarantine().Figures().Crashes)
+		return float64(a.node.Quarantine().Stats().Crashes)
 	}))
 	gauge("doorstep_requests_suspected", "Requests that were at a replica that ended and were not answered since.", func() float64 {
-		return float64(a.node.Quarantine().Figures().Suspects)
+		return float64(a.node.Quarantine().Stats().Suspects)
 	})
 	gauge("doorstep_requests_quarantined", "Requests that are kept from replicas, as they crash those that run them.", func() float64 {
-		return float64(a.node.Quarantine().Figures().Held)
+		return float64(a.node.Quarantine().Stats().Held)
 	})
 	m.registerCold(a, gauge)
 	counts := func(name, help string, value func(counts batch.Counts) int) {
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -280,7 +280,7 @@
 	if len(reports) != 1 || reports[0] != want {
 		t.Errorf("got %+v, want %+v", reports, want)
 	}
-	if figures := c.nodes[0].Figures(); figures != (Stats{Crashes: 3, Suspects: 1, Held: 1}) {
+	if figures := c.nodes[0].Stats(); figures != (Stats{Crashes: 3, Suspects: 1, Held: 1}) {
 		t.Errorf("%+v", figures)
 	}
 }
@@ -290,7 +290,7 @@
 	for _, key := range []string{"", "x", "zz/crash/r", "00/crash/r"} {
 		c.nodes[0].OnRecord(port.Record{RecordKey: port.RecordKey{Table: port.SharedTable, Partition: Partition, Key: key}, Revision: 1})
 	}
-	if suspects := c.nodes[0].Figures().Suspects; suspects != 0 {
+	if suspects := c.nodes[0].Stats().Suspects; suspects != 0 {
 		t.Errorf("%d suspects from invalid records, want none", suspects)
 	}
 }
--- a/internal/process/quarantine/report.go
+++ b/internal/process/quarantine/report.go
@@ -9,8 +9,8 @@
 	Crashes, Suspects, Held int
 }
 
-// Figures returns the quarantine statistics.
-func (q *Quarantine) Figures() Stats {
+// Stats returns the quarantine statistics.
+func (q *Quarantine) Stats() Stats {
 	figures := Stats{Crashes: q.crashes, Suspects: len(q.suspects)}
 	for _, s := range q.suspects {
 		if s.held() {
