--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -57,13 +57,13 @@
 }
 
 // coldLimit returns the limit for a service's cold replicas, false if there is none.
-func (n *Node) coldLimit(name string) (coldstart.Bound, bool) {
+func (n *Node) coldLimit(name string) (coldstart.Limit, bool) {
 	if n.routes == nil {
-		return coldstart.Bound{}, false
+		return coldstart.Limit{}, false
 	}
 	service, _ := n.routes.Service(name)
 	if service.Cold == nil || service.Cold.Lasts <= 0 {
-		return coldstart.Bound{}, false
+		return coldstart.Limit{}, false
 	}
 	return coldstart.NewBound(*service.Cold, n.options.Cold.Overshoot, n.options.Cold.Slack), true
 }
--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -49,7 +49,7 @@
 
 // claimForItems claims requests to some cold endpoints. It takes at most half of a window, to leave some for
 // the owners of other jobs.
-func (n *Node) claimForItems(profile *endpoint.Profile, query endpoint.Query, service string, bound coldstart.Bound) {
+func (n *Node) claimForItems(profile *endpoint.Profile, query endpoint.Query, service string, bound coldstart.Limit) {
 	rateLimited := query.Permit
 	claimed := map[string]bool{}
 	for range claimsPerItem {
@@ -71,7 +71,7 @@
 	tenant     string
 	query      *endpoint.Query
 	service    string
-	bound      coldstart.Bound
+	bound      coldstart.Limit
 	waiting    func() bool
 	done       func(now time.Time, chosen *endpoint.Endpoint, retryAfter time.Duration)
 	retryAfter time.Duration
--- a/internal/process/coldstart/bucket.go
+++ b/internal/process/coldstart/bucket.go
@@ -29,7 +29,7 @@
 }
 
 // configure sets the token bucket for a number of nodes that share the limit.
-func (l *sendLimiter) configure(now time.Time, bound Bound, share int) {
+func (l *sendLimiter) configure(now time.Time, bound Limit, share int) {
 	burst, refill := bound.bucket(share)
 	switch {
 	case l.bucket == nil:
@@ -61,7 +61,7 @@
 
 // Allows reports whether the replica's rate limit allows a request. It protects replicas that have turned cold
 // without this node's knowledge.
-func (g *Gate) Allows(now time.Time, id, service string, bound Bound, sender Sender) bool {
+func (g *Gate) Allows(now time.Time, id, service string, bound Limit, sender Sender) bool {
 	if g.replica(id, service, bound).limiter(now, sender).allows(now, bound.nodeMaxPerSecond(sender.Share)) {
 		return true
 	}
@@ -71,7 +71,7 @@
 
 // Sent accounts for a request sent to a replica. A request to a cold replica uses up a grant of its window.
 // Callers' requests also count against the limit of items, so that items make room for them.
-func (g *Gate) Sent(now time.Time, id, service string, bound Bound, sender Sender, cold bool) {
+func (g *Gate) Sent(now time.Time, id, service string, bound Limit, sender Sender, cold bool) {
 	r := g.replica(id, service, bound)
 	r.limiter(now, sender).record(now)
 	if !sender.Items {
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -18,8 +18,8 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// Bound is the request limit of a service's cold replicas.
-type Bound struct {
+// Limit is the request limit of a service's cold replicas.
+type Limit struct {
 	// PerSecond is the sustained request rate of a cold replica, Most the maximum number of requests in
 	// any second.
 	PerSecond, Most float64
@@ -28,13 +28,13 @@
 }
 
 // NewBound returns the limit of a service, which allows overshoot times its rate plus slack in any second.
-func NewBound(cold port.ColdStart, overshoot, slack float64) Bound {
-	return Bound{PerSecond: cold.PerSecond, Most: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
+func NewBound(cold port.ColdStart, overshoot, slack float64) Limit {
+	return Limit{PerSecond: cold.PerSecond, Most: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
 }
 
 // Worth returns the number of requests that a window grants. Any second overlaps at most two windows, so each
 // grants half of the limit.
-func (b Bound) Worth() int { return int(b.Most / 2) }
+func (b Limit) Worth() int { return int(b.Most / 2) }
 
 // isolatedRate is the burst and the rate per second of a node that may not know the other senders. It is
 // reserved from the other nodes' bucket.
@@ -42,7 +42,7 @@
 
 // bucket returns the burst and the rate of one node's token bucket if share nodes send, or of an isolated
 // node if share is 0.
-func (b Bound) bucket(share int) (burst int, refill rate.Limit) {
+func (b Limit) bucket(share int) (burst int, refill rate.Limit) {
 	if share == 0 {
 		return isolatedRate, rate.Limit(min(b.PerSecond, isolatedRate))
 	}
@@ -52,7 +52,7 @@
 }
 
 // nodeMaxPerSecond returns the maximum number of requests in any second of one node if share nodes send.
-func (b Bound) nodeMaxPerSecond(share int) int {
+func (b Limit) nodeMaxPerSecond(share int) int {
 	if share == 0 {
 		return isolatedRate
 	}
@@ -83,7 +83,7 @@
 // replica is the state of one incarnation of a replica.
 type replica struct {
 	id, service string
-	bound       Bound
+	bound       Limit
 	// items and callers limit the two kinds of requests.
 	items, callers sendLimiter
 	window         window
@@ -92,7 +92,7 @@
 // New returns a gate with empty state.
 func New(options Options) *Gate { return &Gate{options: options, replicas: map[string]*replica{}} }
 
-func (g *Gate) replica(id, service string, bound Bound) *replica {
+func (g *Gate) replica(id, service string, bound Limit) *replica {
 	r := g.replicas[id]
 	if r == nil {
 		r = &replica{id: id, service: service}
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -60,7 +60,7 @@
 }
 
 // Turned delays the first window of a replica that turned cold while it was known as warm.
-func (g *Gate) Turned(now time.Time, id, service string, bound Bound) {
+func (g *Gate) Turned(now time.Time, id, service string, bound Limit) {
 	g.replica(id, service, bound).window.notBefore = now.Add(settleTime)
 }
 
@@ -85,13 +85,13 @@
 }
 
 // Claimable reports whether a claim for a cold replica may succeed now.
-func (g *Gate) Claimable(now time.Time, id string, bound Bound) bool {
+func (g *Gate) Claimable(now time.Time, id string, bound Limit) bool {
 	return g.Wait(now, id, bound) == 0
 }
 
 // Wait returns how long to wait before a claim for a cold replica may succeed, 0 if it may succeed now. It
 // keeps no state for unknown replicas.
-func (g *Gate) Wait(now time.Time, id string, bound Bound) time.Duration {
+func (g *Gate) Wait(now time.Time, id string, bound Limit) time.Duration {
 	w := window{}
 	if r := g.replicas[id]; r != nil {
 		w = r.window
@@ -113,7 +113,7 @@
 
 // Claim claims requests to a cold replica. done, unless nil, is called with the outcome. If the claim is
 // granted, it must send the request and call Sent before it returns.
-func (g *Gate) Claim(now time.Time, id, service string, bound Bound, want int, done func(now time.Time, granted bool)) {
+func (g *Gate) Claim(now time.Time, id, service string, bound Limit, want int, done func(now time.Time, granted bool)) {
 	r := g.replica(id, service, bound)
 	w := &r.window
 	if done == nil && w.claiming {
