--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -65,7 +65,7 @@
 	if service.Cold == nil || service.Cold.Lasts <= 0 {
 		return coldstart.Limit{}, false
 	}
-	return coldstart.NewBound(*service.Cold, n.options.Cold.Overshoot, n.options.Cold.Slack), true
+	return coldstart.NewLimit(*service.Cold, n.options.Cold.Overshoot, n.options.Cold.Slack), true
 }
 
 // learnCold updates how long a replica is cold from its record.
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -27,8 +27,8 @@
 	Lasts time.Duration
 }
 
-// NewBound returns the limit of a service, which allows overshoot times its rate plus slack in any second.
-func NewBound(cold port.ColdStart, overshoot, slack float64) Limit {
+// NewLimit returns the limit of a service, which allows overshoot times its rate plus slack in any second.
+func NewLimit(cold port.ColdStart, overshoot, slack float64) Limit {
 	return Limit{PerSecond: cold.PerSecond, Most: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
 }
 
