--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -20,21 +20,21 @@
 
 // Limit is the request limit of a service's cold replicas.
 type Limit struct {
-	// PerSecond is the sustained request rate of a cold replica, Most the maximum number of requests in
+	// PerSecond is the sustained request rate of a cold replica, MaxPerSecond the maximum number of requests in
 	// any second.
-	PerSecond, Most float64
+	PerSecond, MaxPerSecond float64
 	// Lasts is how long a replica is cold after its start.
 	Lasts time.Duration
 }
 
 // NewLimit returns the limit of a service, which allows overshoot times its rate plus slack in any second.
 func NewLimit(cold port.ColdStart, overshoot, slack float64) Limit {
-	return Limit{PerSecond: cold.PerSecond, Most: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
+	return Limit{PerSecond: cold.PerSecond, MaxPerSecond: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
 }
 
 // Worth returns the number of requests that a window grants. Any second overlaps at most two windows, so each
 // grants half of the limit.
-func (b Limit) Worth() int { return int(b.Most / 2) }
+func (b Limit) Worth() int { return int(b.MaxPerSecond / 2) }
 
 // isolatedRate is the burst and the rate per second of a node that may not know the other senders. It is
 // reserved from the other nodes' bucket.
@@ -46,8 +46,8 @@
 	if share == 0 {
 		return isolatedRate, rate.Limit(min(b.PerSecond, isolatedRate))
 	}
-	whole := max(math.Floor(b.Most-b.PerSecond)-isolatedRate, 1)
-	perSecond := min(b.PerSecond, max(b.Most-whole, 0))
+	whole := max(math.Floor(b.MaxPerSecond-b.PerSecond)-isolatedRate, 1)
+	perSecond := min(b.PerSecond, max(b.MaxPerSecond-whole, 0))
 	return max(int(whole)/share, 1), rate.Limit(perSecond / float64(share))
 }
 
@@ -56,7 +56,7 @@
 	if share == 0 {
 		return isolatedRate
 	}
-	return max((int(b.Most)-isolatedRate)/share, 1)
+	return max((int(b.MaxPerSecond)-isolatedRate)/share, 1)
 }
 
 // Options configure a Gate.
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -149,8 +149,8 @@
 	for seed := range uint64(40) {
 		m := newGateGroup(seed, 7)
 		m.run()
-		if m.maxPerSecond > int(bound.Most) {
-			t.Errorf("seed %d: %d requests within a second, want at most %g", seed, m.maxPerSecond, bound.Most)
+		if m.maxPerSecond > int(bound.MaxPerSecond) {
+			t.Errorf("seed %d: %d requests within a second, want at most %g", seed, m.maxPerSecond, bound.MaxPerSecond)
 		}
 		if m.granted < 30 {
 			t.Errorf("seed %d: %d requests granted in 30 s, want at least 30", seed, m.granted)
