--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -124,7 +124,7 @@
 	if !ok {
 		return
 	}
-	query.ColdLasts = bound.Lasts
+	query.ColdLasts = bound.Duration
 	if query.Unguarded || query.Room == 0 && n.DiscoveryAge(query.Now) < maxDiscoveryAge {
 		return
 	}
@@ -141,7 +141,7 @@
 	if !ok {
 		return
 	}
-	cold := chosen.Cold(now, bound.Lasts)
+	cold := chosen.Cold(now, bound.Duration)
 	if cold {
 		chosen.SendBy = n.cold.gate.SendBy(now, chosen.ID)
 	}
--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -88,13 +88,13 @@
 		if !ok {
 			continue
 		}
-		query.ColdLasts = bound.Lasts
+		query.ColdLasts = bound.Duration
 		query.Permit = nil
 		if endpoint.Requests.Choose(query, n.endpoints.Pool(service)) == nil {
 			continue
 		}
 		n.claimForCaller(&coldRequest{
-			route: route, tenant: tenant, query: query, service: service, bound: bound, waiting: waiting, done: done, retryAfter: bound.Lasts,
+			route: route, tenant: tenant, query: query, service: service, bound: bound, waiting: waiting, done: done, retryAfter: bound.Duration,
 		})
 		return true
 	}
@@ -107,7 +107,7 @@
 	query, bound := call.query, call.bound
 	query.Permit = func(e *endpoint.Endpoint) bool {
 		wait := n.cold.gate.Wait(query.Now, e.ID, bound)
-		call.retryAfter = min(call.retryAfter, max(wait, 0), e.WarmAt(bound.Lasts).Sub(query.Now))
+		call.retryAfter = min(call.retryAfter, max(wait, 0), e.WarmAt(bound.Duration).Sub(query.Now))
 		return wait == 0
 	}
 	chosen := endpoint.Requests.Choose(query, n.endpoints.Pool(call.service))
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -23,13 +23,13 @@
 	// PerSecond is the sustained request rate of a cold replica, MaxPerSecond the maximum number of requests in
 	// any second.
 	PerSecond, MaxPerSecond float64
-	// Lasts is how long a replica is cold after its start.
-	Lasts time.Duration
+	// Duration is how long a replica is cold after its start.
+	Duration time.Duration
 }
 
 // NewLimit returns the limit of a service, which allows overshoot times its rate plus slack in any second.
 func NewLimit(cold port.ColdStart, overshoot, slack float64) Limit {
-	return Limit{PerSecond: cold.PerSecond, MaxPerSecond: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
+	return Limit{PerSecond: cold.PerSecond, MaxPerSecond: cold.PerSecond*max(overshoot, 1) + slack, Duration: cold.Lasts}
 }
 
 // Worth returns the number of requests that a window grants. Any second overlaps at most two windows, so each
