--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -61,7 +61,7 @@
 			return
 		}
 		claimed[chosen.ID] = true
-		n.cold.gate.Claim(query.Now, chosen.ID, service, bound, (bound.Worth()+1)/2, nil)
+		n.cold.gate.Claim(query.Now, chosen.ID, service, bound, (bound.WindowCapacity()+1)/2, nil)
 	}
 }
 
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -32,9 +32,9 @@
 	return Limit{PerSecond: cold.PerSecond, MaxPerSecond: cold.PerSecond*max(overshoot, 1) + slack, Duration: cold.Lasts}
 }
 
-// Worth returns the number of requests that a window grants. Any second overlaps at most two windows, so each
+// WindowCapacity returns the number of requests that a window grants. Any second overlaps at most two windows, so each
 // grants half of the limit.
-func (b Limit) Worth() int { return int(b.MaxPerSecond / 2) }
+func (b Limit) WindowCapacity() int { return int(b.MaxPerSecond / 2) }
 
 // isolatedRate is the burst and the rate per second of a node that may not know the other senders. It is
 // reserved from the other nodes' bucket.
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -198,8 +198,8 @@
 		})
 		execute(now, queue, store)
 	}
-	if served != bound.Worth() {
-		t.Errorf("%d served, want %d", served, bound.Worth())
+	if served != bound.WindowCapacity() {
+		t.Errorf("%d served, want %d", served, bound.WindowCapacity())
 	}
 	last := gates[len(gates)-1]
 	if wait := last.Wait(now, "r", bound); wait != windowLength {
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -102,10 +102,10 @@
 		// Without this limit callers would try all cold replicas in turn and be denied by each.
 		wait = max(wait, refusedRetryDelay)
 	}
-	if !known || bound.Worth() == 0 {
+	if !known || bound.WindowCapacity() == 0 {
 		return max(wait, unansweredRetryDelay)
 	}
-	if w.taken < bound.Worth() && most+sendMargin < w.until {
+	if w.taken < bound.WindowCapacity() && most+sendMargin < w.until {
 		return wait
 	}
 	return max(wait, w.until-least)
@@ -173,7 +173,7 @@
 		// windowLength later, so that no third window can begin within a second of the first.
 		until, taken = most+windowLength, 0
 	}
-	took := min(want, r.bound.Worth()-taken)
+	took := min(want, r.bound.WindowCapacity()-taken)
 	return &doorstepv1.ColdWindow{
 		// Rounded up, as the next window must not begin before this one ends.
 		UntilMs: (until + time.Millisecond - 1).Milliseconds(), Taken: int32(taken + took),
