--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -312,12 +312,12 @@
 	n.list("r0", 0)
 	n.run(2 * newOwnerPeriod)
 	one := n.endpoints.Find("r0")
-	if got := n.sender(n.Now, one, true).Share; got == 0 {
+	if got := n.sender(n.Now, one, true).Nodes; got == 0 {
 		t.Fatal("a connected node has no share of the bucket")
 	}
 	n.storeDown = true
 	n.run(2 * maxDiscoveryAge)
-	if got := n.sender(n.Now, one, true).Share; got != 0 {
+	if got := n.sender(n.Now, one, true).Nodes; got != 0 {
 		t.Errorf("an isolated node has a share: 1 of %d", got)
 	}
 	n.storeDown = false
@@ -327,11 +327,11 @@
 		}
 	}
 	n.run(reconnectPeriod / 2)
-	if got := n.sender(n.Now, one, true).Share; got != 0 {
+	if got := n.sender(n.Now, one, true).Nodes; got != 0 {
 		t.Errorf("a node that has just reconnected has a share: 1 of %d", got)
 	}
 	n.run(2 * newOwnerPeriod)
-	if got := n.sender(n.Now, one, true).Share; got == 0 {
+	if got := n.sender(n.Now, one, true).Nodes; got == 0 {
 		t.Error("a node that knows the owners again has no share")
 	}
 }
@@ -339,7 +339,7 @@
 // TestOwnersThatHaveNotHeardOfOneAnother checks that a new owner does not use a replica's whole bucket while an
 // owner with a stale view may still do so. Simulator seed 700359.
 func TestOwnersThatHaveNotHeardOfOneAnother(t *testing.T) {
-	whole := func(n *coldNode) bool { return n.sender(n.Now, n.endpoints.Find("r0"), true).Share == 1 }
+	whole := func(n *coldNode) bool { return n.sender(n.Now, n.endpoints.Find("r0"), true).Nodes == 1 }
 	former := newColdNode()
 	former.own()
 	former.list("r0", 0)
--- a/internal/process/cluster/senders.go
+++ b/internal/process/cluster/senders.go
@@ -15,11 +15,11 @@
 func (n *Node) sender(now time.Time, e *endpoint.Endpoint, items bool) coldstart.Sender {
 	switch {
 	case !items:
-		return coldstart.Sender{Share: 1}
+		return coldstart.Sender{Nodes: 1}
 	case n.isolated(now):
 		return coldstart.Sender{Items: true}
 	}
-	return coldstart.Sender{Items: true, Share: n.countSenders(now, e)}
+	return coldstart.Sender{Items: true, Nodes: n.countSenders(now, e)}
 }
 
 // isolated reports whether this node cannot know which other nodes send items: its view is stale, or was
--- a/internal/process/coldstart/bucket.go
+++ b/internal/process/coldstart/bucket.go
@@ -11,9 +11,9 @@
 type Sender struct {
 	// Items is set for items of batch jobs and unset for callers' requests.
 	Items bool
-	// Share is the number of nodes that send items to the replica and share its token bucket. 0 means
+	// Nodes is the number of nodes that send items to the replica and share its token bucket. 0 means
 	// that this node is isolated from the store and cannot know the number.
-	Share int
+	Nodes int
 }
 
 // sendWindow is the window of the limit on requests per second. The margin allows for requests that arrive
@@ -62,7 +62,7 @@
 // Allows reports whether the replica's rate limit allows a request. It protects replicas that have turned cold
 // without this node's knowledge.
 func (g *Gate) Allows(now time.Time, id, service string, bound Limit, sender Sender) bool {
-	if g.replica(id, service, bound).limiter(now, sender).allows(now, bound.nodeMaxPerSecond(sender.Share)) {
+	if g.replica(id, service, bound).limiter(now, sender).allows(now, bound.nodeMaxPerSecond(sender.Nodes)) {
 		return true
 	}
 	g.figures.Held++
@@ -89,6 +89,6 @@
 	if sender.Items {
 		one = &r.items
 	}
-	one.configure(now, r.bound, sender.Share)
+	one.configure(now, r.bound, sender.Nodes)
 	return one
 }
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -87,7 +87,7 @@
 func (m *gateGroup) send(gate int, now time.Time) {
 	m.granted++
 	by := m.gates[gate].SendBy(now, "r")
-	m.gates[gate].Sent(now, "r", "s", bound, Sender{Share: 1}, true)
+	m.gates[gate].Sent(now, "r", "s", bound, Sender{Nodes: 1}, true)
 	m.After(m.randomDuration(30*time.Millisecond), func() {
 		if m.Now.Before(m.frozen[gate]) {
 			m.After(m.frozen[gate].Sub(m.Now), func() { m.write(by) })
@@ -193,7 +193,7 @@
 		gate.Claim(now, "r", "s", bound, 1, func(now time.Time, granted bool) {
 			if granted {
 				served++
-				gate.Sent(now, "r", "s", bound, Sender{Share: 1}, true)
+				gate.Sent(now, "r", "s", bound, Sender{Nodes: 1}, true)
 			}
 		})
 		execute(now, queue, store)
@@ -251,10 +251,10 @@
 		// within is the number of requests allowed in the first second at maximum demand.
 		within int
 	}{
-		{"one node's items", Sender{Items: true, Share: 1}, 17},
-		{"three nodes' items", Sender{Items: true, Share: 3}, 5},
+		{"one node's items", Sender{Items: true, Nodes: 1}, 17},
+		{"three nodes' items", Sender{Items: true, Nodes: 3}, 5},
 		{"items of an isolated node", Sender{Items: true}, 1},
-		{"callers of an isolated node", Sender{Share: 1}, 17},
+		{"callers of an isolated node", Sender{Nodes: 1}, 17},
 	} {
 		gate, _, _ := newExactGate()
 		passed := 0
@@ -278,8 +278,8 @@
 		// most is the maximum in any second, least the minimum in ten seconds.
 		most, least int
 	}{
-		{"one node", Sender{Items: true, Share: 1}, 17, 100},
-		{"one of three", Sender{Items: true, Share: 3}, 5, 32},
+		{"one node", Sender{Items: true, Nodes: 1}, 17, 100},
+		{"one of three", Sender{Items: true, Nodes: 3}, 5, 32},
 		{"an isolated node", Sender{Items: true}, 1, 9},
 	} {
 		gate, _, _ := newExactGate()
@@ -305,9 +305,9 @@
 func TestCallersCountAgainstItems(t *testing.T) {
 	gate, _, _ := newExactGate()
 	for range 17 {
-		gate.Sent(epoch, "r", "s", bound, Sender{Share: 1}, false)
+		gate.Sent(epoch, "r", "s", bound, Sender{Nodes: 1}, false)
 	}
-	if gate.Allows(epoch.Add(time.Second), "r", "s", bound, Sender{Items: true, Share: 1}) {
+	if gate.Allows(epoch.Add(time.Second), "r", "s", bound, Sender{Items: true, Nodes: 1}) {
 		t.Error("item allowed although callers have used up the limit")
 	}
 }
