--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -80,7 +80,7 @@
 	}
 	n.cold.known[one.ID] = true
 	if wasWarm {
-		n.cold.gate.Turned(now, one.ID, one.Service, bound)
+		n.cold.gate.DelayFirstWindow(now, one.ID, one.Service, bound)
 	}
 	n.queue.Log(event.ReplicaCold, "replica", one.ID, "service", one.Service, "zone", one.Zone, "for_ms", one.ColdFor.Milliseconds(), "was_warm", wasWarm)
 }
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -238,7 +238,7 @@
 func TestFirstWindowIsDelayed(t *testing.T) {
 	gate, _, _ := newExactGate()
 	now := epoch.Add(time.Second)
-	gate.Turned(now, "r", "s", bound)
+	gate.DelayFirstWindow(now, "r", "s", bound)
 	if gate.Claimable(now.Add(settleTime-time.Millisecond), "r", bound) || !gate.Claimable(now.Add(settleTime), "r", bound) {
 		t.Errorf("first window does not begin after %s", settleTime)
 	}
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -59,8 +59,8 @@
 	return port.RecordKey{Table: Table, Partition: Table, Key: replica}
 }
 
-// Turned delays the first window of a replica that turned cold while it was known as warm.
-func (g *Gate) Turned(now time.Time, id, service string, bound Limit) {
+// DelayFirstWindow delays the first window of a replica that turned cold while it was known as warm.
+func (g *Gate) DelayFirstWindow(now time.Time, id, service string, bound Limit) {
 	g.replica(id, service, bound).window.notBefore = now.Add(settleTime)
 }
 
