--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -29,7 +29,7 @@
 		rateLimited := query.Permit
 		granted := query
 		granted.Permit = func(e *endpoint.Endpoint) bool {
-			return n.cold.gate.Holds(query.Now, e.ID) && (rateLimited == nil || rateLimited(e))
+			return n.cold.gate.HasGrant(query.Now, e.ID) && (rateLimited == nil || rateLimited(e))
 		}
 		if chosen := profile.Choose(&granted, n.endpoints.Pool(service)); chosen != nil {
 			return chosen, true
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -124,7 +124,7 @@
 				}
 				// Some gates send at once. Others send at the end of the window and may be frozen after that.
 				sent := false
-				for gate.Holds(now, "r") && (!late || gate.timeLeft(now, gate.replicas["r"]) < 60*time.Millisecond) {
+				for gate.HasGrant(now, "r") && (!late || gate.timeLeft(now, gate.replicas["r"]) < 60*time.Millisecond) {
 					m.send(i, now)
 					sent = true
 				}
@@ -224,7 +224,7 @@
 		now, outcomes := epoch.Add(time.Second), []bool{}
 		gate.Claim(now, "r", "s", bound, 1, func(_ time.Time, granted bool) { outcomes = append(outcomes, granted) })
 		queue.Take()[0].(task.Commit).Done(now, port.RecordResult{Status: c.status})
-		if !slices.Equal(outcomes, []bool{false}) || gate.Holds(now, "r") {
+		if !slices.Equal(outcomes, []bool{false}) || gate.HasGrant(now, "r") {
 			t.Errorf("%s: outcomes %v, want one denial and no grant", c.name, outcomes)
 		}
 		if wait := gate.Wait(now, "r", bound); wait != c.pause {
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -64,8 +64,8 @@
 	g.replica(id, service, bound).window.notBefore = now.Add(settleTime)
 }
 
-// Holds reports whether this node has an unused grant for a cold replica.
-func (g *Gate) Holds(now time.Time, id string) bool {
+// HasGrant reports whether this node has an unused grant for a cold replica.
+func (g *Gate) HasGrant(now time.Time, id string) bool {
 	r := g.replicas[id]
 	return r != nil && g.timeLeft(now, r) > 0
 }
