--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -143,7 +143,7 @@
 	}
 	cold := chosen.Cold(now, bound.Duration)
 	if cold {
-		chosen.SendBy = n.cold.gate.SendBy(now, chosen.ID)
+		chosen.SendBy = n.cold.gate.SendDeadline(now, chosen.ID)
 	}
 	n.cold.gate.Sent(now, chosen.ID, chosen.Service, bound, n.sender(now, chosen, items), cold)
 }
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -86,7 +86,7 @@
 // send sends a granted request after a random delay, unless its deadline has passed by then.
 func (m *gateGroup) send(gate int, now time.Time) {
 	m.granted++
-	by := m.gates[gate].SendBy(now, "r")
+	by := m.gates[gate].SendDeadline(now, "r")
 	m.gates[gate].Sent(now, "r", "s", bound, Sender{Nodes: 1}, true)
 	m.After(m.randomDuration(30*time.Millisecond), func() {
 		if m.Now.Before(m.frozen[gate]) {
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -79,8 +79,8 @@
 	return r.window.grantedUntil - most - sendMargin
 }
 
-// SendBy returns the time by which a granted request to a cold replica must be written.
-func (g *Gate) SendBy(now time.Time, id string) time.Time {
+// SendDeadline returns the time by which a granted request to a cold replica must be written.
+func (g *Gate) SendDeadline(now time.Time, id string) time.Time {
 	return now.Add(g.timeLeft(now, g.replicas[id]) + sendMargin)
 }
 
