--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -106,7 +106,7 @@
 func (n *Node) claimForCaller(call *coldRequest) {
 	query, bound := call.query, call.bound
 	query.Permit = func(e *endpoint.Endpoint) bool {
-		wait := n.cold.gate.Wait(query.Now, e.ID, bound)
+		wait := n.cold.gate.RetryAfter(query.Now, e.ID, bound)
 		call.retryAfter = min(call.retryAfter, max(wait, 0), e.WarmAt(bound.Duration).Sub(query.Now))
 		return wait == 0
 	}
@@ -127,7 +127,7 @@
 			exclude := map[string]bool{chosen.ID: true}
 			maps.Copy(exclude, query.Exclude)
 			query.Exclude = exclude
-			call.retryAfter = min(call.retryAfter, n.cold.gate.Wait(now, chosen.ID, bound))
+			call.retryAfter = min(call.retryAfter, n.cold.gate.RetryAfter(now, chosen.ID, bound))
 			n.claimForCaller(call)
 		}
 	})
--- a/internal/process/coldstart/claim_test.go
+++ b/internal/process/coldstart/claim_test.go
@@ -22,7 +22,7 @@
 			if granted {
 				t.Errorf("%s: claim for a removed replica is granted", name)
 			}
-			gate.Wait(now, "r", bound)
+			gate.RetryAfter(now, "r", bound)
 		})
 		claim := queue.Take()[0].(task.Commit)
 		gate.Forget(now, "r")
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -202,7 +202,7 @@
 		t.Errorf("%d served, want %d", served, bound.WindowCapacity())
 	}
 	last := gates[len(gates)-1]
-	if wait := last.Wait(now, "r", bound); wait != windowLength {
+	if wait := last.RetryAfter(now, "r", bound); wait != windowLength {
 		t.Errorf("next caller is told to wait %s, want %s", wait, windowLength)
 	}
 	now = now.Add(windowLength)
@@ -227,7 +227,7 @@
 		if !slices.Equal(outcomes, []bool{false}) || gate.HasGrant(now, "r") {
 			t.Errorf("%s: outcomes %v, want one denial and no grant", c.name, outcomes)
 		}
-		if wait := gate.Wait(now, "r", bound); wait != c.pause {
+		if wait := gate.RetryAfter(now, "r", bound); wait != c.pause {
 			t.Errorf("%s: next attempt after %s, want %s", c.name, wait, c.pause)
 		}
 	}
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -86,12 +86,12 @@
 
 // Claimable reports whether a claim for a cold replica may succeed now.
 func (g *Gate) Claimable(now time.Time, id string, bound Limit) bool {
-	return g.Wait(now, id, bound) == 0
+	return g.RetryAfter(now, id, bound) == 0
 }
 
-// Wait returns how long to wait before a claim for a cold replica may succeed, 0 if it may succeed now. It
+// RetryAfter returns how long to wait before a claim for a cold replica may succeed, 0 if it may succeed now. It
 // keeps no state for unknown replicas.
-func (g *Gate) Wait(now time.Time, id string, bound Limit) time.Duration {
+func (g *Gate) RetryAfter(now time.Time, id string, bound Limit) time.Duration {
 	w := window{}
 	if r := g.replicas[id]; r != nil {
 		w = r.window
@@ -134,7 +134,7 @@
 	if len(w.waiting) == 0 {
 		return
 	}
-	if w.attempts >= maxClaimAttempts || g.Wait(now, r.id, r.bound) > 0 {
+	if w.attempts >= maxClaimAttempts || g.RetryAfter(now, r.id, r.bound) > 0 {
 		g.deny(now, r)
 		return
 	}
@@ -242,7 +242,7 @@
 func (g *Gate) deny(now time.Time, r *replica) {
 	g.figures.Denied += len(r.window.waiting)
 	if len(r.window.waiting) > 0 {
-		g.options.Queue.Log(event.ColdClaimDenied, "replica", r.id, "service", r.service, "wait_ms", g.Wait(now, r.id, r.bound).Milliseconds())
+		g.options.Queue.Log(event.ColdClaimDenied, "replica", r.id, "service", r.service, "wait_ms", g.RetryAfter(now, r.id, r.bound).Milliseconds())
 	}
 	r.failWaiting(now)
 }
