--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -145,7 +145,7 @@
 	if cold {
 		chosen.SendBy = n.cold.gate.SendDeadline(now, chosen.ID)
 	}
-	n.cold.gate.Sent(now, chosen.ID, chosen.Service, bound, n.sender(now, chosen, items), cold)
+	n.cold.gate.RecordSend(now, chosen.ID, chosen.Service, bound, n.sender(now, chosen, items), cold)
 }
 
 // ColdFigures are the node's statistics of cold replicas.
--- a/internal/process/coldstart/bucket.go
+++ b/internal/process/coldstart/bucket.go
@@ -69,9 +69,9 @@
 	return false
 }
 
-// Sent accounts for a request sent to a replica. A request to a cold replica uses up a grant of its window.
+// RecordSend accounts for a request sent to a replica. A request to a cold replica uses up a grant of its window.
 // Callers' requests also count against the limit of items, so that items make room for them.
-func (g *Gate) Sent(now time.Time, id, service string, bound Limit, sender Sender, cold bool) {
+func (g *Gate) RecordSend(now time.Time, id, service string, bound Limit, sender Sender, cold bool) {
 	r := g.replica(id, service, bound)
 	r.limiter(now, sender).record(now)
 	if !sender.Items {
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -87,7 +87,7 @@
 func (m *gateGroup) send(gate int, now time.Time) {
 	m.granted++
 	by := m.gates[gate].SendDeadline(now, "r")
-	m.gates[gate].Sent(now, "r", "s", bound, Sender{Nodes: 1}, true)
+	m.gates[gate].RecordSend(now, "r", "s", bound, Sender{Nodes: 1}, true)
 	m.After(m.randomDuration(30*time.Millisecond), func() {
 		if m.Now.Before(m.frozen[gate]) {
 			m.After(m.frozen[gate].Sub(m.Now), func() { m.write(by) })
@@ -193,7 +193,7 @@
 		gate.Claim(now, "r", "s", bound, 1, func(now time.Time, granted bool) {
 			if granted {
 				served++
-				gate.Sent(now, "r", "s", bound, Sender{Nodes: 1}, true)
+				gate.RecordSend(now, "r", "s", bound, Sender{Nodes: 1}, true)
 			}
 		})
 		execute(now, queue, store)
@@ -260,7 +260,7 @@
 		passed := 0
 		for now := epoch; now.Sub(epoch) < time.Second; now = now.Add(time.Millisecond) {
 			for gate.Allows(now, "r", "s", bound, c.sender) {
-				gate.Sent(now, "r", "s", bound, c.sender, false)
+				gate.RecordSend(now, "r", "s", bound, c.sender, false)
 				passed++
 			}
 		}
@@ -286,7 +286,7 @@
 		var passed []time.Time
 		for now := epoch; now.Sub(epoch) < 10*time.Second; now = now.Add(5 * time.Millisecond) {
 			for gate.Allows(now, "r", "s", bound, c.sender) {
-				gate.Sent(now, "r", "s", bound, c.sender, false)
+				gate.RecordSend(now, "r", "s", bound, c.sender, false)
 				passed = append(passed, now)
 			}
 			last := slices.DeleteFunc(slices.Clone(passed), func(at time.Time) bool { return now.Sub(at) > time.Second })
@@ -305,7 +305,7 @@
 func TestCallersCountAgainstItems(t *testing.T) {
 	gate, _, _ := newExactGate()
 	for range 17 {
-		gate.Sent(epoch, "r", "s", bound, Sender{Nodes: 1}, false)
+		gate.RecordSend(epoch, "r", "s", bound, Sender{Nodes: 1}, false)
 	}
 	if gate.Allows(epoch.Add(time.Second), "r", "s", bound, Sender{Items: true, Nodes: 1}) {
 		t.Error("item allowed although callers have used up the limit")
