--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -232,5 +232,5 @@
 	counter("doorstep_cold_claims_granted_total", "Claims of requests to cold replicas that were granted.", func(f cluster.ColdFigures) int { return f.Granted })
 	counter("doorstep_cold_claims_denied_total", "Wishes for requests to cold replicas that were not granted.", func(f cluster.ColdFigures) int { return f.Denied })
 	counter("doorstep_cold_requests_total", "Requests sent to cold replicas.", func(f cluster.ColdFigures) int { return f.Sent })
-	counter("doorstep_replica_buckets_empty_total", "Times that a replica was passed over, as its token bucket was empty.", func(f cluster.ColdFigures) int { return f.Held })
+	counter("doorstep_replica_buckets_empty_total", "Times that a replica was passed over, as its token bucket was empty.", func(f cluster.ColdFigures) int { return f.Throttled })
 }
--- a/internal/process/coldstart/bucket.go
+++ b/internal/process/coldstart/bucket.go
@@ -65,7 +65,7 @@
 	if g.replica(id, service, bound).limiter(now, sender).allows(now, bound.nodeMaxPerSecond(sender.Nodes)) {
 		return true
 	}
-	g.figures.Held++
+	g.figures.Throttled++
 	return false
 }
 
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -116,9 +116,9 @@
 
 // Figures are the gate's statistics.
 type Figures struct {
-	// Granted and Denied count claims by outcome, Sent the requests sent to cold replicas, and Held the
+	// Granted and Denied count claims by outcome, Sent the requests sent to cold replicas, and Throttled the
 	// requests rejected by a replica's limiter.
-	Granted, Denied, Sent, Held int
+	Granted, Denied, Sent, Throttled int
 }
 
 // Figures returns the gate's statistics.
