--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -150,12 +150,12 @@
 
 // ColdFigures are the node's statistics of cold replicas.
 type ColdFigures struct {
-	coldstart.Figures
+	coldstart.Stats
 	// Replicas counts the replicas known to be cold.
 	Replicas int
 }
 
 // Cold returns the statistics of cold replicas.
 func (n *Node) Cold() ColdFigures {
-	return ColdFigures{Figures: n.cold.gate.Figures(), Replicas: len(n.cold.known)}
+	return ColdFigures{Stats: n.cold.gate.Figures(), Replicas: len(n.cold.known)}
 }
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -76,7 +76,7 @@
 	replicas map[string]*replica
 	// claiming counts the pending claims.
 	claiming  int
-	figures   Figures
+	figures   Stats
 	collector collector
 }
 
@@ -114,12 +114,12 @@
 	}
 }
 
-// Figures are the gate's statistics.
-type Figures struct {
+// Stats are the gate's statistics.
+type Stats struct {
 	// Granted and Denied count claims by outcome, Sent the requests sent to cold replicas, and Throttled the
 	// requests rejected by a replica's limiter.
 	Granted, Denied, Sent, Throttled int
 }
 
 // Figures returns the gate's statistics.
-func (g *Gate) Figures() Figures { return g.figures }
+func (g *Gate) Figures() Stats { return g.figures }
