--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -157,5 +157,5 @@
 
 // Cold returns the statistics of cold replicas.
 func (n *Node) Cold() ColdFigures {
-	return ColdFigures{Stats: n.cold.gate.Figures(), Replicas: len(n.cold.known)}
+	return ColdFigures{Stats: n.cold.gate.Stats(), Replicas: len(n.cold.known)}
 }
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -121,5 +121,5 @@
 	Granted, Denied, Sent, Throttled int
 }
 
-// Figures returns the gate's statistics.
-func (g *Gate) Figures() Stats { return g.figures }
+// Stats returns the gate's statistics.
+func (g *Gate) Stats() Stats { return g.figures }
