--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -179,7 +179,7 @@
 	a.node = cluster.New(a.startedAt, cluster.Options{
 		Name: options.Settings.Name, Topology: options.Settings.Topology(), Cold: options.Settings.Cold, Incarnation: options.Incarnation, Decoder: options.Protocol,
 		OrderPause: options.Settings.Orders.Pause(), Duties: dutiesOf(options.Settings),
-		WallAhead: func() time.Duration { return -a.clock.Suspended() }, LargeList: options.Settings.Store.LargeList,
+		WallClockOffset: func() time.Duration { return -a.clock.Suspended() }, LargeList: options.Settings.Store.LargeList,
 		ProcessorShare: options.Settings.Processor.Share,
 	})
 	return a
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -57,9 +57,9 @@
 	Decoder     DeploymentDecoder
 	// OrderPause is the minimum time between the orders of two successive lease holders.
 	OrderPause time.Duration
-	// WallAhead returns how far the node's wall clock is ahead of the times passed to its methods; nil
+	// WallClockOffset returns how far the node's wall clock is ahead of the times passed to its methods; nil
 	// if those are wall clock times.
-	WallAhead func() time.Duration
+	WallClockOffset func() time.Duration
 	// Duties are the platform calls made by one node at a time.
 	Duties Duties
 	// ProcessorShare is the fraction of a core available to this node, 0 if unknown.
--- a/internal/process/cluster/status.go
+++ b/internal/process/cluster/status.go
@@ -118,10 +118,10 @@
 
 // wallClock returns the node's wall clock time.
 func (n *Node) wallClock(now time.Time) time.Time {
-	if n.options.WallAhead == nil {
+	if n.options.WallClockOffset == nil {
 		return now
 	}
-	return now.Add(n.options.WallAhead())
+	return now.Add(n.options.WallClockOffset())
 }
 
 // removeStatus deletes the status record of a stopping node.
--- a/internal/process/cluster/status_test.go
+++ b/internal/process/cluster/status_test.go
@@ -36,7 +36,7 @@
 func TestAClockThatJumpsIsToldAtOnce(t *testing.T) {
 	n := newColdNode()
 	ahead := time.Duration(0)
-	n.options.WallAhead = func() time.Duration { return ahead }
+	n.options.WallClockOffset = func() time.Duration { return ahead }
 	n.run(2 * maxFirstStatusDelay)
 	before, stored := n.storedOffset()
 	if !stored {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -233,7 +233,7 @@
 	life := n.life
 	n.node = cluster.New(n.world.Now, cluster.Options{
 		Name: n.name, Topology: topologyAt(n.zone), Incarnation: n.life*1000 + uint64(len(n.name)) + n.world.options.Seed<<20, Decoder: decoder{}, OrderPause: orderPause,
-		WallAhead: func() time.Duration { return n.wallAhead }, Duties: simulatedDuties(), Cold: coldSettings,
+		WallClockOffset: func() time.Duration { return n.wallAhead }, Duties: simulatedDuties(), Cold: coldSettings,
 		LargeList: n.world.options.largeList(), ProcessorShare: n.processorShare,
 	})
 	n.world.Every(tickEvery, func() bool {
