--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -217,7 +217,7 @@
 		case <-ticker.C:
 			a.do(func(now time.Time) {
 				a.node.Tick(now)
-				left = a.node.MayLeave(now)
+				left = a.node.CanExit(now)
 			})
 		}
 		if left {
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -274,9 +274,9 @@
 // Stopping reports whether a graceful shutdown has started.
 func (n *Node) Stopping() bool { return !n.stoppingAt.IsZero() }
 
-// MayLeave reports whether a stopping node may exit: clients have had time to notice, jobs are handed over and
+// CanExit reports whether a stopping node may exit: clients have had time to notice, jobs are handed over and
 // usage counts are stored. It waits for the latter two only for a limited time.
-func (n *Node) MayLeave(now time.Time) bool {
+func (n *Node) CanExit(now time.Time) bool {
 	stopping := now.Sub(n.stoppingAt)
 	return n.Stopping() && stopping >= shutdownDelay && (n.jobs.Owned() == 0 || stopping >= 2*shutdownDelay) && (n.usageFlushed() || stopping >= usageFlushTimeout)
 }
--- a/internal/process/cluster/cluster_test.go
+++ b/internal/process/cluster/cluster_test.go
@@ -80,7 +80,7 @@
 		t.Error("ready although the store has stopped answering")
 	}
 	n.Stop(now)
-	if n.Ready(now) || n.MayLeave(now) || !n.MayLeave(now.Add(shutdownDelay)) {
+	if n.Ready(now) || n.CanExit(now) || !n.CanExit(now.Add(shutdownDelay)) {
 		t.Error("a stopping node must not be ready, and may leave only after shutdownDelay")
 	}
 }
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -241,7 +241,7 @@
 			return false
 		}
 		n.do(life, func(now time.Time) { n.node.Tick(now) })
-		if n.stopping && n.node.MayLeave(n.world.Now) {
+		if n.stopping && n.node.CanExit(n.world.Now) {
 			n.kill(startupTime)
 		}
 		return true
