--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -311,7 +311,7 @@
 			a.node.NoteLatency(now.Sub(startedAt))
 		}
 		if result.Clock > 0 {
-			a.node.NoteClock(now, startedAt, result.Clock)
+			a.node.ObserveStoreClock(now, startedAt, result.Clock)
 			a.clockAhead.Store(int64(a.node.StoreClock(a.startedAt)))
 		}
 		done(now, result)
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -226,8 +226,8 @@
 	n.tickLatency(now)
 }
 
-// NoteClock records a reading of the store's clock from the response to a call sent at sentAt.
-func (n *Node) NoteClock(now, sentAt time.Time, clock time.Duration) {
+// ObserveStoreClock records a reading of the store's clock from the response to a call sent at sentAt.
+func (n *Node) ObserveStoreClock(now, sentAt time.Time, clock time.Duration) {
 	n.clock.observe(now, sentAt, clock)
 }
 
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -72,7 +72,7 @@
 					result = make()
 				}
 				c.After(storeRoundTrip/2, func() {
-					c.NoteClock(c.Now, sentAt, result.Clock)
+					c.ObserveStoreClock(c.Now, sentAt, result.Clock)
 					c.do(func(now time.Time) { done(now, result) })
 				})
 			})
--- a/internal/process/cluster/nodecount_test.go
+++ b/internal/process/cluster/nodecount_test.go
@@ -16,7 +16,7 @@
 // holdLease makes a node acquire the order lease against a given store.
 func holdLease(t *testing.T, n *Node, store *model.Records) {
 	t.Helper()
-	n.NoteClock(start, start, time.Hour)
+	n.ObserveStoreClock(start, start, time.Hour)
 	n.shared.Tick(start)
 	for range 200 {
 		n.lease.Tick(start)
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -359,7 +359,7 @@
 		n.node.NoteLatency(now.Sub(sentAt))
 	}
 	if result.Clock > 0 {
-		n.node.NoteClock(now, sentAt, result.Clock)
+		n.node.ObserveStoreClock(now, sentAt, result.Clock)
 	}
 	done(now, result)
 }
