--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -308,7 +308,7 @@
 	a.metrics.storeCall(kind, result.Status, a.since(startedAt))
 	a.do(func(now time.Time) {
 		if kind != watchCall {
-			a.node.NoteLatency(now.Sub(startedAt))
+			a.node.ObserveStoreLatency(now.Sub(startedAt))
 		}
 		if result.Clock > 0 {
 			a.node.ObserveStoreClock(now, startedAt, result.Clock)
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -237,8 +237,8 @@
 	return least
 }
 
-// NoteLatency records the duration of a store call that was answered immediately.
-func (n *Node) NoteLatency(took time.Duration) { n.latency.observe(took) }
+// ObserveStoreLatency records the duration of a store call that was answered immediately.
+func (n *Node) ObserveStoreLatency(took time.Duration) { n.latency.observe(took) }
 
 // Ready reports whether the node should receive new connections.
 func (n *Node) Ready(now time.Time) bool {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -356,7 +356,7 @@
 
 func (n *node) noted(now, sentAt time.Time, held bool, result port.RecordResult, done func(now time.Time, result port.RecordResult)) {
 	if !held {
-		n.node.NoteLatency(now.Sub(sentAt))
+		n.node.ObserveStoreLatency(now.Sub(sentAt))
 	}
 	if result.Clock > 0 {
 		n.node.ObserveStoreClock(now, sentAt, result.Clock)
