--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -41,7 +41,7 @@
 	}
 	a.upstream.SharesTime = true
 	a.upstream.OnConnect = func(address string, took time.Duration) {
-		a.do(func(time.Time) { a.node.NoteConnection(address, took) })
+		a.do(func(time.Time) { a.node.ObserveConnectTime(address, took) })
 	}
 }
 
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -54,8 +54,8 @@
 	return slices.DeleteFunc(slices.Clone(list), func(e *endpoint.Endpoint) bool { return !homes.Allow(e.Region) })
 }
 
-// NoteConnection records how long it took to connect to a replica's address.
-func (n *Node) NoteConnection(address string, took time.Duration) {
+// ObserveConnectTime records how long it took to connect to a replica's address.
+func (n *Node) ObserveConnectTime(address string, took time.Duration) {
 	if one := n.endpoints.At(address); one != nil {
 		n.distances.Note(one.Zone, took)
 	}
--- a/internal/process/cluster/homes_test.go
+++ b/internal/process/cluster/homes_test.go
@@ -72,9 +72,9 @@
 // TestLatencyLearnedFromConnections checks that the latency to a zone is learned from connection times.
 func TestLatencyLearnedFromConnections(t *testing.T) {
 	n, _ := homesNode()
-	n.NoteConnection("northern", time.Millisecond)
-	n.NoteConnection("southern", 41*time.Millisecond)
-	n.NoteConnection("gone", time.Second)
+	n.ObserveConnectTime("northern", time.Millisecond)
+	n.ObserveConnectTime("southern", 41*time.Millisecond)
+	n.ObserveConnectTime("gone", time.Second)
 	if got := n.Away("b"); got != 40*time.Millisecond {
 		t.Errorf("latency to zone b is %s, want 40ms", got)
 	}
