--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -28,7 +28,7 @@
 
 // noteSent counts what is sent to a replica in another region. It is called within the node's loop.
 func (a *Agent) noteSent(kind, replica string) {
-	if a.node.Elsewhere(replica) {
+	if a.node.InOtherRegion(replica) {
 		a.metrics.elsewhere.WithLabelValues(kind).Inc()
 	}
 }
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Elsewhere reports whether a replica is in a different region than this node.
-func (n *Node) Elsewhere(replica string) bool {
+// InOtherRegion reports whether a replica is in a different region than this node.
+func (n *Node) InOtherRegion(replica string) bool {
 	one := n.endpoints.Find(replica)
 	return one != nil && n.distances.Several() && one.Region != n.options.Topology.Region
 }
--- a/internal/process/cluster/homes_test.go
+++ b/internal/process/cluster/homes_test.go
@@ -78,7 +78,7 @@
 	if got := n.Away("b"); got != 40*time.Millisecond {
 		t.Errorf("latency to zone b is %s, want 40ms", got)
 	}
-	if n.Elsewhere("northern") || !n.Elsewhere("southern") || n.Elsewhere("gone") {
+	if n.InOtherRegion("northern") || !n.InOtherRegion("southern") || n.InOtherRegion("gone") {
 		t.Error("only the southern replica is in another region")
 	}
 }
