--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -57,7 +57,7 @@
 			ConstLabels: prometheus.Labels{"zone": zone, "region": region}}, func() float64 {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return a.node.Away(zone).Seconds()
+			return a.node.ExtraLatency(zone).Seconds()
 		}))
 	}
 }
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -67,5 +67,5 @@
 	return one != nil && n.distances.Several() && one.Region != n.options.Topology.Region
 }
 
-// Away returns how much longer a round trip to a zone takes than one within the node's region.
-func (n *Node) Away(zone string) time.Duration { return n.distances.Away(zone) }
+// ExtraLatency returns how much longer a round trip to a zone takes than one within the node's region.
+func (n *Node) ExtraLatency(zone string) time.Duration { return n.distances.Away(zone) }
--- a/internal/process/cluster/homes_test.go
+++ b/internal/process/cluster/homes_test.go
@@ -75,7 +75,7 @@
 	n.ObserveConnectTime("northern", time.Millisecond)
 	n.ObserveConnectTime("southern", 41*time.Millisecond)
 	n.ObserveConnectTime("gone", time.Second)
-	if got := n.Away("b"); got != 40*time.Millisecond {
+	if got := n.ExtraLatency("b"); got != 40*time.Millisecond {
 		t.Errorf("latency to zone b is %s, want 40ms", got)
 	}
 	if n.InOtherRegion("northern") || !n.InOtherRegion("southern") || n.InOtherRegion("gone") {
