--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -22,7 +22,7 @@
 	var verdict quarantine.Decision
 	served := false
 	x.agent.do(func(now time.Time) {
-		served = x.agent.node.Served(x.route, x.caller.Tenant)
+		served = x.agent.node.HasAllowedReplica(x.route, x.caller.Tenant)
 		verdict = x.agent.node.Quarantine().Check(now, x.asked.Fingerprint)
 	})
 	if !served {
--- a/internal/process/agent/trainer.go
+++ b/internal/process/agent/trainer.go
@@ -50,7 +50,7 @@
 		Served: func(job *doorstepv1.BatchJob) bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return a.node.Served(a.node.Route(job.Host, job.Path), job.Tenant)
+			return a.node.HasAllowedReplica(a.node.Route(job.Host, job.Path), job.Tenant)
 		},
 		Route: func(service string, kind port.RouteKind) *port.Route {
 			a.mu.Lock()
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -17,10 +17,10 @@
 	return n.routes.Homes(route, tenant)
 }
 
-// Served reports whether an allowed region has a replica for a request. If not, the request cannot be served
+// HasAllowedReplica reports whether an allowed region has a replica for a request. If not, the request cannot be served
 // until the configuration or the fleet changes, whereas a busy, draining or failing replica may recover soon.
 // It is true without a route or while not all replicas are known.
-func (n *Node) Served(route *port.Route, tenant string) bool {
+func (n *Node) HasAllowedReplica(route *port.Route, tenant string) bool {
 	homes := n.Homes(route, tenant)
 	if !homes.Bound || route == nil || !n.knowsAllReplicas() {
 		return true
@@ -36,7 +36,7 @@
 // jobHomes returns the region constraints of batch jobs.
 func (n *Node) jobHomes() batch.Homes {
 	return batch.Homes{
-		Of: n.Homes, Served: n.Served, Known: func() bool { return n.routes != nil },
+		Of: n.Homes, Served: n.HasAllowedReplica, Known: func() bool { return n.routes != nil },
 		Named: func(name string) *port.Route {
 			if n.routes == nil {
 				return nil
--- a/internal/process/cluster/homes_test.go
+++ b/internal/process/cluster/homes_test.go
@@ -63,7 +63,7 @@
 				}
 			}
 		}
-		if got := n.Served(route, c.tenant); got != (c.want != "") {
+		if got := n.HasAllowedReplica(route, c.tenant); got != (c.want != "") {
 			t.Errorf("%s: Served returns %t", c.name, got)
 		}
 	}
