--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -189,7 +189,7 @@
 	if left <= 0 {
 		return false
 	}
-	a.do(func(now time.Time) { a.node.BeginReading(now) })
+	a.do(func(now time.Time) { a.node.BeginJobWait(now) })
 	defer a.do(func(time.Time) { a.node.EndReading() })
 	timer := time.NewTimer(left)
 	defer timer.Stop()
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -75,8 +75,8 @@
 	return n.idle(now) && n.jobWaiters == 0 && n.standing(now) != batch.Ready
 }
 
-// BeginReading registers a caller that waits for a job to change, until EndReading is called.
-func (n *Node) BeginReading(now time.Time) {
+// BeginJobWait registers a caller that waits for a job to change, until EndReading is called.
+func (n *Node) BeginJobWait(now time.Time) {
 	n.jobWaiters++
 	n.shared.Hasten(now)
 }
