--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -190,7 +190,7 @@
 		return false
 	}
 	a.do(func(now time.Time) { a.node.BeginJobWait(now) })
-	defer a.do(func(time.Time) { a.node.EndReading() })
+	defer a.do(func(time.Time) { a.node.EndJobWait() })
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -81,8 +81,8 @@
 	n.shared.Hasten(now)
 }
 
-// EndReading unregisters a caller registered by BeginReading.
-func (n *Node) EndReading() { n.jobWaiters-- }
+// EndJobWait unregisters a caller registered by BeginReading.
+func (n *Node) EndJobWait() { n.jobWaiters-- }
 
 // onSharedHealth handles a failure or recovery of the watch of the shared table.
 func (n *Node) onSharedHealth(now time.Time, healthy bool) {
