--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -108,12 +108,12 @@
 		use.addService(backend.Service)
 	}
 	n.replicas.Tick(now)
-	return n.ReplicasAwaited()
+	return n.LoadingReplicas()
 }
 
-// ReplicasAwaited reports whether replicas for callers' requests are being read. While the store is
+// LoadingReplicas reports whether replicas for callers' requests are being read. While the store is
 // unavailable, requests use the replicas known before.
-func (n *Node) ReplicasAwaited() bool {
+func (n *Node) LoadingReplicas() bool {
 	return !n.lapses.storeDown && n.replicas.Awaited(recordwatch.Part)
 }
 
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -146,7 +146,7 @@
 	d.node.BeginRequest(d.now, callersRoute)
 	d.settle()
 	defer d.node.EndRequest(d.now)
-	if d.node.ReplicasAwaited() {
+	if d.node.LoadingReplicas() {
 		d.t.Fatal("replicas are still awaited")
 	}
 	chosen := d.node.Choose(d.now, callersRoute, "", "", nil)
