--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -104,7 +104,7 @@
 		if chosen == nil && x.agent.node.AllEvacuated(x.route, x.caller.Tenant) {
 			x.relay.Evacuated()
 		}
-		if chosen == nil && !x.relay.Pending() && x.agent.node.MoreReplicasAwaited() {
+		if chosen == nil && !x.relay.Pending() && x.agent.node.LoadingMoreReplicas() {
 			more = x.agent.untilReplicasKnown()
 		}
 	})
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -117,9 +117,9 @@
 	return !n.lapses.storeDown && n.replicas.Awaited(recordwatch.Part)
 }
 
-// MoreReplicasAwaited reports whether additional replicas are being read because none of the known ones was
+// LoadingMoreReplicas reports whether additional replicas are being read because none of the known ones was
 // usable.
-func (n *Node) MoreReplicasAwaited() bool {
+func (n *Node) LoadingMoreReplicas() bool {
 	return !n.lapses.storeDown && !n.knowsAllReplicas() && n.replicas.Reading()
 }
 
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -297,7 +297,7 @@
 	for range 5 {
 		chosen := d.node.Choose(d.now, rare, "", "", failed)
 		for range 8 {
-			if chosen != nil || !d.node.MoreReplicasAwaited() {
+			if chosen != nil || !d.node.LoadingMoreReplicas() {
 				break
 			}
 			d.settle()
