--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -212,8 +212,8 @@
 // usageFlushed reports whether all usage counts of this node are stored.
 func (n *Node) usageFlushed() bool { return n.usage == nil || n.usage.counter.Unwritten() == 0 }
 
-// Reports reports whether this node currently sends usage reports to the platform.
-func (n *Node) Reports(now time.Time) bool { return n.usage != nil && n.usage.lease.Held(now) }
+// ReportsUsage reports whether this node currently sends usage reports to the platform.
+func (n *Node) ReportsUsage(now time.Time) bool { return n.usage != nil && n.usage.lease.Held(now) }
 
 // UsageFigures are the node's usage reporting statistics.
 type UsageFigures struct {
--- a/internal/simulation/clustersim/fault.go
+++ b/internal/simulation/clustersim/fault.go
@@ -169,7 +169,7 @@
 
 func killReporter(w *World, lasts time.Duration) {
 	for _, one := range w.nodes {
-		if one.up && one.node.Reports(w.Now) {
+		if one.up && one.node.ReportsUsage(w.Now) {
 			one.kill(lasts)
 			return
 		}
