--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -104,12 +104,12 @@
 		}
 		return 0
 	})
-	usage := func(name, help string, value func(figures cluster.UsageFigures) int) {
+	usage := func(name, help string, value func(figures cluster.UsageStats) int) {
 		gauge(name, help, func() float64 { return float64(value(a.node.Usage())) })
 	}
-	usage("doorstep_usage_unwritten", "Requests counted for reports of use that are not on record yet.", func(f cluster.UsageFigures) int { return f.Unwritten })
-	usage("doorstep_usage_windows_reported", "Windows of use that the platform took from this node.", func(f cluster.UsageFigures) int { return f.Reported })
-	usage("doorstep_usage_windows_late", "Those of them that were overdue.", func(f cluster.UsageFigures) int { return f.Late })
+	usage("doorstep_usage_unwritten", "Requests counted for reports of use that are not on record yet.", func(f cluster.UsageStats) int { return f.Unwritten })
+	usage("doorstep_usage_windows_reported", "Windows of use that the platform took from this node.", func(f cluster.UsageStats) int { return f.Reported })
+	usage("doorstep_usage_windows_late", "Those of them that were overdue.", func(f cluster.UsageStats) int { return f.Late })
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "doorstep_replica_crashes_total",
 		Help: "Replicas that ended while a request of this node ran there, once for each request."}, func() float64 {
 		a.mu.Lock()
--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -215,17 +215,17 @@
 // ReportsUsage reports whether this node currently sends usage reports to the platform.
 func (n *Node) ReportsUsage(now time.Time) bool { return n.usage != nil && n.usage.lease.Held(now) }
 
-// UsageFigures are the node's usage reporting statistics.
-type UsageFigures struct {
+// UsageStats are the node's usage reporting statistics.
+type UsageStats struct {
 	// Unwritten counts requests that are not stored yet; Reported and Late count the windows that the
 	// platform accepted from this node.
 	Unwritten, Reported, Late int
 }
 
 // Usage returns the usage reporting statistics, zero if the duty is disabled.
-func (n *Node) Usage() UsageFigures {
+func (n *Node) Usage() UsageStats {
 	if n.usage == nil {
-		return UsageFigures{}
+		return UsageStats{}
 	}
-	return UsageFigures{Unwritten: int(n.usage.counter.Unwritten()), Reported: n.usage.reporter.Reported, Late: n.usage.reporter.Late}
+	return UsageStats{Unwritten: int(n.usage.counter.Unwritten()), Reported: n.usage.reporter.Reported, Late: n.usage.reporter.Late}
 }
