--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -222,15 +222,15 @@
 // registerCold registers the figures of cold replicas.
 func (m *metrics) registerCold(a *Agent, gauge func(name, help string, value func() float64)) {
 	gauge("doorstep_replicas_cold", "Replicas that are cold by their records.", func() float64 { return float64(a.node.Cold().Replicas) })
-	counter := func(name, help string, value func(figures cluster.ColdFigures) int) {
+	counter := func(name, help string, value func(figures cluster.ColdStats) int) {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			return float64(value(a.node.Cold()))
 		}))
 	}
-	counter("doorstep_cold_claims_granted_total", "Claims of requests to cold replicas that were granted.", func(f cluster.ColdFigures) int { return f.Granted })
-	counter("doorstep_cold_claims_denied_total", "Wishes for requests to cold replicas that were not granted.", func(f cluster.ColdFigures) int { return f.Denied })
-	counter("doorstep_cold_requests_total", "Requests sent to cold replicas.", func(f cluster.ColdFigures) int { return f.Sent })
-	counter("doorstep_replica_buckets_empty_total", "Times that a replica was passed over, as its token bucket was empty.", func(f cluster.ColdFigures) int { return f.Throttled })
+	counter("doorstep_cold_claims_granted_total", "Claims of requests to cold replicas that were granted.", func(f cluster.ColdStats) int { return f.Granted })
+	counter("doorstep_cold_claims_denied_total", "Wishes for requests to cold replicas that were not granted.", func(f cluster.ColdStats) int { return f.Denied })
+	counter("doorstep_cold_requests_total", "Requests sent to cold replicas.", func(f cluster.ColdStats) int { return f.Sent })
+	counter("doorstep_replica_buckets_empty_total", "Times that a replica was passed over, as its token bucket was empty.", func(f cluster.ColdStats) int { return f.Throttled })
 }
--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -148,14 +148,14 @@
 	n.cold.gate.RecordSend(now, chosen.ID, chosen.Service, bound, n.sender(now, chosen, items), cold)
 }
 
-// ColdFigures are the node's statistics of cold replicas.
-type ColdFigures struct {
+// ColdStats are the node's statistics of cold replicas.
+type ColdStats struct {
 	coldstart.Stats
 	// Replicas counts the replicas known to be cold.
 	Replicas int
 }
 
 // Cold returns the statistics of cold replicas.
-func (n *Node) Cold() ColdFigures {
-	return ColdFigures{Stats: n.cold.gate.Stats(), Replicas: len(n.cold.known)}
+func (n *Node) Cold() ColdStats {
+	return ColdStats{Stats: n.cold.gate.Stats(), Replicas: len(n.cold.known)}
 }
