--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -89,7 +89,7 @@
 	})
 	gauge("doorstep_replicas", "Replicas listed.", func() float64 { return float64(a.node.Endpoints().Len()) })
 	gauge("doorstep_zones_evacuated", "Zones whose replicas get nothing, as the platform takes them out of use.", func() float64 {
-		return float64(len(a.node.Evacuated()))
+		return float64(len(a.node.EvacuatedZones()))
 	})
 	m.registerWithheld(a)
 	gauge("doorstep_ready", "1 while the node wants new connections.", func() float64 {
--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -10,8 +10,8 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// Evacuated returns the evacuated zones known to this node in sorted order.
-func (n *Node) Evacuated() []string { return slices.Sorted(maps.Keys(n.evacuated)) }
+// EvacuatedZones returns the evacuated zones known to this node in sorted order.
+func (n *Node) EvacuatedZones() []string { return slices.Sorted(maps.Keys(n.evacuated)) }
 
 // onEvacuations updates the evacuated zones. A full read replaces the set, since it may follow deletions
 // that the watch missed. The end of an evacuation may be the only notice of it, in which case the zone's
--- a/internal/process/cluster/evacuation_test.go
+++ b/internal/process/cluster/evacuation_test.go
@@ -91,7 +91,7 @@
 			for _, one := range c.updates {
 				n.onDeployment(start, one.table, records(one.table, one.keys...), one.whole)
 			}
-			if got := n.Evacuated(); !slices.Equal(got, c.zones) {
+			if got := n.EvacuatedZones(); !slices.Equal(got, c.zones) {
 				t.Errorf("evacuated zones %v, want %v", got, c.zones)
 			}
 			var usable []string
--- a/internal/simulation/clustersim/check_evacuation.go
+++ b/internal/simulation/clustersim/check_evacuation.go
@@ -61,7 +61,7 @@
 	if len(c.evacuations.counts) == 0 || !n.healthy(w.Now) {
 		return
 	}
-	known := n.node.Evacuated()
+	known := n.node.EvacuatedZones()
 	for zone := range zoneCount {
 		name := fmt.Sprintf("zone-%d", zone)
 		since, on := c.evacuations.since[name]
