--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -129,7 +129,7 @@
 	n.jobs = batch.New(batch.Options{
 		Self: options.Name, Incarnation: options.Incarnation, Topology: options.Topology, Queue: n.queue, Random: n.random,
 		Place: n.placeItem, PlaceScoring: n.placeScoring, Find: n.endpoints.Find, Route: n.Route, Clock: n.clock.bounds,
-		Latency: n.Latency, Nodes: n.Nodes, Standing: n.standing,
+		Latency: n.Latency, Nodes: n.NodeCount, Standing: n.standing,
 		LengthHint: options.Decoder.LengthHint, MostEvents: n.maxEvents, ExpectedTokens: n.expectedTokens, Observed: n.sharedObservedUntil,
 		Quarantine: n.quarantine, Homes: n.jobHomes(),
 	})
--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -65,7 +65,7 @@
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
 		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Cadence: cadence,
 		Fenced: fenced, StartedAt: n.startedAt,
-		Jitter: n.random.Float64(), Nodes: n.Nodes, Observed: n.sharedObservedUntil, Clock: n.clock.bounds,
+		Jitter: n.random.Float64(), Nodes: n.NodeCount, Observed: n.sharedObservedUntil, Clock: n.clock.bounds,
 	}
 }
 
--- a/internal/process/cluster/nodecount.go
+++ b/internal/process/cluster/nodecount.go
@@ -35,8 +35,8 @@
 	from     string
 }
 
-// Nodes returns the last stored number of nodes, 0 before the first count.
-func (n *Node) Nodes() int { return n.nodeCount.nodes }
+// NodeCount returns the last stored number of nodes, 0 before the first count.
+func (n *Node) NodeCount() int { return n.nodeCount.nodes }
 
 // tickNodeCount starts a count when one is due.
 func (n *Node) tickNodeCount(now time.Time) {
--- a/internal/process/cluster/nodecount_test.go
+++ b/internal/process/cluster/nodecount_test.go
@@ -70,12 +70,12 @@
 		put(fmt.Sprintf("n%04d", i), 10*time.Second)
 	}
 	put("long-gone", 2*statusTTL)
-	if writes := count(start); writes != 1 || n.Nodes() != 986 {
-		t.Errorf("%d writes, %d nodes, want 1 write of 986 nodes", writes, n.Nodes())
+	if writes := count(start); writes != 1 || n.NodeCount() != 986 {
+		t.Errorf("%d writes, %d nodes, want 1 write of 986 nodes", writes, n.NodeCount())
 	}
 	put("one-more", 0)
 	n.nodeCount.nextAt = start
-	if writes := count(start); writes != 0 || n.Nodes() != 986 {
-		t.Errorf("%d writes, %d nodes, want no write for one more node", writes, n.Nodes())
+	if writes := count(start); writes != 0 || n.NodeCount() != 986 {
+		t.Errorf("%d writes, %d nodes, want no write for one more node", writes, n.NodeCount())
 	}
 }
--- a/internal/process/cluster/status.go
+++ b/internal/process/cluster/status.go
@@ -112,7 +112,7 @@
 
 // statusRetryDelay returns a random delay between half and one and a half times its mean.
 func (n *Node) statusRetryDelay() time.Duration {
-	pause := statusRetry + time.Duration(n.Nodes())*statusRetryPerNode
+	pause := statusRetry + time.Duration(n.NodeCount())*statusRetryPerNode
 	return pause/2 + time.Duration(n.random.Int64N(int64(pause)))
 }
 
