--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -74,13 +74,13 @@
 	// Other nodes may still treat a replica that restarted under the same ID as warm.
 	wasWarm := !put.Added && !now.Before(one.ColdUntil) || put.Former != nil && !now.Before(put.Former.ColdUntil)
 	one.LearnCold(now)
-	bound, ok := n.coldLimit(one.Service)
+	limit, ok := n.coldLimit(one.Service)
 	if !ok || !now.Before(one.ColdUntil) || n.cold.known[one.ID] {
 		return
 	}
 	n.cold.known[one.ID] = true
 	if wasWarm {
-		n.cold.gate.DelayFirstWindow(now, one.ID, one.Service, bound)
+		n.cold.gate.DelayFirstWindow(now, one.ID, one.Service, limit)
 	}
 	n.queue.Log(event.ReplicaCold, "replica", one.ID, "service", one.Service, "zone", one.Zone, "for_ms", one.ColdFor.Milliseconds(), "was_warm", wasWarm)
 }
@@ -120,32 +120,32 @@
 // stale, when replicas may have turned cold unnoticed.
 func (n *Node) setPermit(query *endpoint.Query, service string) {
 	query.ColdLasts, query.Permit = 0, nil
-	bound, ok := n.coldLimit(service)
+	limit, ok := n.coldLimit(service)
 	if !ok {
 		return
 	}
-	query.ColdLasts = bound.Duration
+	query.ColdLasts = limit.Duration
 	if query.Unguarded || query.Room == 0 && n.DiscoveryAge(query.Now) < maxDiscoveryAge {
 		return
 	}
 	items := query.Room > 0
 	query.Permit = func(e *endpoint.Endpoint) bool {
-		return n.cold.gate.Allows(query.Now, e.ID, service, bound, n.sender(query.Now, e, items))
+		return n.cold.gate.Allows(query.Now, e.ID, service, limit, n.sender(query.Now, e, items))
 	}
 }
 
 // recordSend accounts for a request that is about to be sent to an endpoint.
 func (n *Node) recordSend(now time.Time, chosen *endpoint.Endpoint, items bool) {
 	chosen.SendBy = time.Time{}
-	bound, ok := n.coldLimit(chosen.Service)
+	limit, ok := n.coldLimit(chosen.Service)
 	if !ok {
 		return
 	}
-	cold := chosen.Cold(now, bound.Duration)
+	cold := chosen.Cold(now, limit.Duration)
 	if cold {
 		chosen.SendBy = n.cold.gate.SendDeadline(now, chosen.ID)
 	}
-	n.cold.gate.RecordSend(now, chosen.ID, chosen.Service, bound, n.sender(now, chosen, items), cold)
+	n.cold.gate.RecordSend(now, chosen.ID, chosen.Service, limit, n.sender(now, chosen, items), cold)
 }
 
 // ColdStats are the node's statistics of cold replicas.
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// cold holds the actual time until which a replica is cold.
+	// coldLasts, coldPerSecond and coldMaxPerSecond are the limits of cold replicas in these tests.
 	coldLasts        = 6 * time.Second
 	coldPerSecond    = 9.3
 	coldMaxPerSecond = 18
@@ -37,7 +37,7 @@
 	*Node
 	store *model.Records
 	sent  map[string][]time.Time
-	// cold holds until when a replica is cold in truth.
+	// cold holds the actual time until which a replica is cold.
 	cold         map[string]time.Time
 	maxPerSecond int
 	// storeDown is set while the store does not respond.
--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -21,7 +21,7 @@
 	}
 	query.OnlyCold = true
 	for _, service := range order {
-		bound, ok := n.coldLimit(service)
+		limit, ok := n.coldLimit(service)
 		if !ok {
 			continue
 		}
@@ -35,7 +35,7 @@
 			return chosen, true
 		}
 		if query.Room > 0 {
-			n.claimForItems(profile, query, service, bound)
+			n.claimForItems(profile, query, service, limit)
 		}
 		anyRoom := query
 		anyRoom.Permit = nil
@@ -49,19 +49,19 @@
 
 // claimForItems claims requests to some cold endpoints. It takes at most half of a window, to leave some for
 // the owners of other jobs.
-func (n *Node) claimForItems(profile *endpoint.Profile, query endpoint.Query, service string, bound coldstart.Limit) {
+func (n *Node) claimForItems(profile *endpoint.Profile, query endpoint.Query, service string, limit coldstart.Limit) {
 	rateLimited := query.Permit
 	claimed := map[string]bool{}
 	for range claimsPerItem {
 		query.Permit = func(e *endpoint.Endpoint) bool {
-			return !claimed[e.ID] && n.cold.gate.Claimable(query.Now, e.ID, bound) && (rateLimited == nil || rateLimited(e))
+			return !claimed[e.ID] && n.cold.gate.Claimable(query.Now, e.ID, limit) && (rateLimited == nil || rateLimited(e))
 		}
 		chosen := profile.Choose(&query, n.endpoints.Pool(service))
 		if chosen == nil {
 			return
 		}
 		claimed[chosen.ID] = true
-		n.cold.gate.Claim(query.Now, chosen.ID, service, bound, (bound.WindowCapacity()+1)/2, nil)
+		n.cold.gate.Claim(query.Now, chosen.ID, service, limit, (limit.WindowCapacity()+1)/2, nil)
 	}
 }
 
@@ -71,7 +71,7 @@
 	tenant     string
 	query      *endpoint.Query
 	service    string
-	bound      coldstart.Limit
+	limit      coldstart.Limit
 	waiting    func() bool
 	done       func(now time.Time, chosen *endpoint.Endpoint, retryAfter time.Duration)
 	retryAfter time.Duration
@@ -84,17 +84,17 @@
 	query := n.query(now, route, tenant)
 	query.Exclude, query.Model, query.OnlyCold = exclude, model, true
 	for _, service := range n.splitter.Order(route) {
-		bound, ok := n.coldLimit(service)
+		limit, ok := n.coldLimit(service)
 		if !ok {
 			continue
 		}
-		query.ColdLasts = bound.Duration
+		query.ColdLasts = limit.Duration
 		query.Permit = nil
 		if endpoint.Requests.Choose(query, n.endpoints.Pool(service)) == nil {
 			continue
 		}
 		n.claimForCaller(&coldRequest{
-			route: route, tenant: tenant, query: query, service: service, bound: bound, waiting: waiting, done: done, retryAfter: bound.Duration,
+			route: route, tenant: tenant, query: query, service: service, limit: limit, waiting: waiting, done: done, retryAfter: limit.Duration,
 		})
 		return true
 	}
@@ -104,10 +104,10 @@
 // claimForCaller tries the candidates one after the other, as only the response to a claim shows whether a
 // replica's window is exhausted.
 func (n *Node) claimForCaller(call *coldRequest) {
-	query, bound := call.query, call.bound
+	query, limit := call.query, call.limit
 	query.Permit = func(e *endpoint.Endpoint) bool {
-		wait := n.cold.gate.RetryAfter(query.Now, e.ID, bound)
-		call.retryAfter = min(call.retryAfter, max(wait, 0), e.WarmAt(bound.Duration).Sub(query.Now))
+		wait := n.cold.gate.RetryAfter(query.Now, e.ID, limit)
+		call.retryAfter = min(call.retryAfter, max(wait, 0), e.WarmAt(limit.Duration).Sub(query.Now))
 		return wait == 0
 	}
 	chosen := endpoint.Requests.Choose(query, n.endpoints.Pool(call.service))
@@ -115,7 +115,7 @@
 		call.done(query.Now, nil, call.retryAfter)
 		return
 	}
-	n.cold.gate.Claim(query.Now, chosen.ID, call.service, bound, 1, func(now time.Time, granted bool) {
+	n.cold.gate.Claim(query.Now, chosen.ID, call.service, limit, 1, func(now time.Time, granted bool) {
 		query.Now = now
 		switch {
 		case !call.waiting():
@@ -127,7 +127,7 @@
 			exclude := map[string]bool{chosen.ID: true}
 			maps.Copy(exclude, query.Exclude)
 			query.Exclude = exclude
-			call.retryAfter = min(call.retryAfter, n.cold.gate.RetryAfter(now, chosen.ID, bound))
+			call.retryAfter = min(call.retryAfter, n.cold.gate.RetryAfter(now, chosen.ID, limit))
 			n.claimForCaller(call)
 		}
 	})
--- a/internal/process/cluster/homes_test.go
+++ b/internal/process/cluster/homes_test.go
@@ -64,7 +64,7 @@
 			}
 		}
 		if got := n.HasAllowedReplica(route, c.tenant); got != (c.want != "") {
-			t.Errorf("%s: Served returns %t", c.name, got)
+			t.Errorf("%s: HasAllowedReplica returns %t", c.name, got)
 		}
 	}
 }
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -75,13 +75,13 @@
 	return n.idle(now) && n.jobWaiters == 0 && n.standing(now) != batch.Ready
 }
 
-// BeginJobWait registers a caller that waits for a job to change, until EndReading is called.
+// BeginJobWait registers a caller that waits for a job to change, until EndJobWait is called.
 func (n *Node) BeginJobWait(now time.Time) {
 	n.jobWaiters++
 	n.shared.Hasten(now)
 }
 
-// EndJobWait unregisters a caller registered by BeginReading.
+// EndJobWait unregisters a caller registered by BeginJobWait.
 func (n *Node) EndJobWait() { n.jobWaiters-- }
 
 // onSharedHealth handles a failure or recovery of the watch of the shared table.
--- a/internal/process/coldstart/bucket.go
+++ b/internal/process/coldstart/bucket.go
@@ -29,8 +29,8 @@
 }
 
 // configure sets the token bucket for a number of nodes that share the limit.
-func (l *sendLimiter) configure(now time.Time, bound Limit, share int) {
-	burst, refill := bound.bucket(share)
+func (l *sendLimiter) configure(now time.Time, limit Limit, nodes int) {
+	burst, refill := limit.bucket(nodes)
 	switch {
 	case l.bucket == nil:
 		l.bucket = rate.NewLimiter(refill, burst)
@@ -61,34 +61,34 @@
 
 // Allows reports whether the replica's rate limit allows a request. It protects replicas that have turned cold
 // without this node's knowledge.
-func (g *Gate) Allows(now time.Time, id, service string, bound Limit, sender Sender) bool {
-	if g.replica(id, service, bound).limiter(now, sender).allows(now, bound.nodeMaxPerSecond(sender.Nodes)) {
+func (g *Gate) Allows(now time.Time, id, service string, limit Limit, sender Sender) bool {
+	if g.replica(id, service, limit).limiter(now, sender).allows(now, limit.nodeMaxPerSecond(sender.Nodes)) {
 		return true
 	}
-	g.figures.Throttled++
+	g.stats.Throttled++
 	return false
 }
 
 // RecordSend accounts for a request sent to a replica. A request to a cold replica uses up a grant of its window.
 // Callers' requests also count against the limit of items, so that items make room for them.
-func (g *Gate) RecordSend(now time.Time, id, service string, bound Limit, sender Sender, cold bool) {
-	r := g.replica(id, service, bound)
+func (g *Gate) RecordSend(now time.Time, id, service string, limit Limit, sender Sender, cold bool) {
+	r := g.replica(id, service, limit)
 	r.limiter(now, sender).record(now)
 	if !sender.Items {
 		r.items.record(now)
 	}
 	if cold {
 		r.window.granted--
-		g.figures.Sent++
+		g.stats.Sent++
 	}
 }
 
-// limiter returns the sender's limiter, configured for its share.
+// limiter returns the sender's limiter, configured for its number of nodes.
 func (r *replica) limiter(now time.Time, sender Sender) *sendLimiter {
 	one := &r.callers
 	if sender.Items {
 		one = &r.items
 	}
-	one.configure(now, r.bound, sender.Nodes)
+	one.configure(now, r.limit, sender.Nodes)
 	return one
 }
--- a/internal/process/coldstart/claim_test.go
+++ b/internal/process/coldstart/claim_test.go
@@ -17,12 +17,12 @@
 	} {
 		gate, queue, _ := newExactGate()
 		now, outcomes := epoch.Add(time.Second), 0
-		gate.Claim(now, "r", "s", bound, 1, func(now time.Time, granted bool) {
+		gate.Claim(now, "r", "s", limit, 1, func(now time.Time, granted bool) {
 			outcomes++
 			if granted {
 				t.Errorf("%s: claim for a removed replica is granted", name)
 			}
-			gate.RetryAfter(now, "r", bound)
+			gate.RetryAfter(now, "r", limit)
 		})
 		claim := queue.Take()[0].(task.Commit)
 		gate.Forget(now, "r")
@@ -44,13 +44,13 @@
 	gate, queue, _ := newExactGate()
 	now := epoch.Add(time.Second)
 	for i := range maxConcurrentClaims {
-		gate.Claim(now, fmt.Sprint("r", i), "s", bound, 1, nil)
+		gate.Claim(now, fmt.Sprint("r", i), "s", limit, 1, nil)
 	}
-	if !gate.Claimable(now, "r0", bound) || gate.Claimable(now, "another", bound) {
+	if !gate.Claimable(now, "r0", limit) || gate.Claimable(now, "another", limit) {
 		t.Error("at the limit only replicas with a pending claim may be claimable")
 	}
 	queue.Take()[0].(task.Commit).Done(now, port.RecordResult{Status: port.RecordRefused})
-	if !gate.Claimable(now, "another", bound) {
+	if !gate.Claimable(now, "another", limit) {
 		t.Error("no claim possible after a pending one has ended")
 	}
 }
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -34,29 +34,30 @@
 
 // WindowCapacity returns the number of requests that a window grants. Any second overlaps at most two windows, so each
 // grants half of the limit.
-func (b Limit) WindowCapacity() int { return int(b.MaxPerSecond / 2) }
+func (l Limit) WindowCapacity() int { return int(l.MaxPerSecond / 2) }
 
 // isolatedRate is the burst and the rate per second of a node that may not know the other senders. It is
 // reserved from the other nodes' bucket.
 const isolatedRate = 1
 
-// bucket returns the burst and the rate of one node's token bucket if share nodes send, or of an isolated
-// node if share is 0.
-func (b Limit) bucket(share int) (burst int, refill rate.Limit) {
-	if share == 0 {
-		return isolatedRate, rate.Limit(min(b.PerSecond, isolatedRate))
+// bucket returns the burst and the rate of a single node's token bucket, given the number of sending nodes.
+// 0 stands for an isolated node.
+func (l Limit) bucket(nodes int) (burst int, refill rate.Limit) {
+	if nodes == 0 {
+		return isolatedRate, rate.Limit(min(l.PerSecond, isolatedRate))
 	}
-	whole := max(math.Floor(b.MaxPerSecond-b.PerSecond)-isolatedRate, 1)
-	perSecond := min(b.PerSecond, max(b.MaxPerSecond-whole, 0))
-	return max(int(whole)/share, 1), rate.Limit(perSecond / float64(share))
+	whole := max(math.Floor(l.MaxPerSecond-l.PerSecond)-isolatedRate, 1)
+	perSecond := min(l.PerSecond, max(l.MaxPerSecond-whole, 0))
+	return max(int(whole)/nodes, 1), rate.Limit(perSecond / float64(nodes))
 }
 
-// nodeMaxPerSecond returns the maximum number of requests in any second of one node if share nodes send.
-func (b Limit) nodeMaxPerSecond(share int) int {
-	if share == 0 {
+// nodeMaxPerSecond returns a single node's maximum number of requests in any second, given the number of
+// sending nodes. 0 stands for an isolated node.
+func (l Limit) nodeMaxPerSecond(nodes int) int {
+	if nodes == 0 {
 		return isolatedRate
 	}
-	return max((int(b.MaxPerSecond)-isolatedRate)/share, 1)
+	return max((int(l.MaxPerSecond)-isolatedRate)/nodes, 1)
 }
 
 // Options configure a Gate.
@@ -76,14 +77,14 @@
 	replicas map[string]*replica
 	// claiming counts the pending claims.
 	claiming  int
-	figures   Stats
+	stats     Stats
 	collector collector
 }
 
 // replica is the state of one incarnation of a replica.
 type replica struct {
 	id, service string
-	bound       Limit
+	limit       Limit
 	// items and callers limit the two kinds of requests.
 	items, callers sendLimiter
 	window         window
@@ -92,13 +93,13 @@
 // New returns a gate with empty state.
 func New(options Options) *Gate { return &Gate{options: options, replicas: map[string]*replica{}} }
 
-func (g *Gate) replica(id, service string, bound Limit) *replica {
+func (g *Gate) replica(id, service string, limit Limit) *replica {
 	r := g.replicas[id]
 	if r == nil {
 		r = &replica{id: id, service: service}
 		g.replicas[id] = r
 	}
-	r.bound = bound
+	r.limit = limit
 	return r
 }
 
@@ -122,4 +123,4 @@
 }
 
 // Stats returns the gate's statistics.
-func (g *Gate) Stats() Stats { return g.figures }
+func (g *Gate) Stats() Stats { return g.stats }
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -15,8 +15,8 @@
 
 var (
 	epoch = time.Unix(1_000_000, 0)
-	// bound allows 18 requests in any second.
-	bound = NewLimit(port.ColdStart{Lasts: 8 * time.Second, PerSecond: 9.3}, 1.5, 5)
+	// limit allows 18 requests in any second.
+	limit = NewLimit(port.ColdStart{Lasts: 8 * time.Second, PerSecond: 9.3}, 1.5, 5)
 )
 
 // gateGroup is a set of gates that share a store. Store calls are delayed or lost, and the gates' clocks differ.
@@ -87,7 +87,7 @@
 func (m *gateGroup) send(gate int, now time.Time) {
 	m.granted++
 	by := m.gates[gate].SendDeadline(now, "r")
-	m.gates[gate].RecordSend(now, "r", "s", bound, Sender{Nodes: 1}, true)
+	m.gates[gate].RecordSend(now, "r", "s", limit, Sender{Nodes: 1}, true)
 	m.After(m.randomDuration(30*time.Millisecond), func() {
 		if m.Now.Before(m.frozen[gate]) {
 			m.After(m.frozen[gate].Sub(m.Now), func() { m.write(by) })
@@ -112,15 +112,15 @@
 			m.do(i, func(now time.Time) {
 				late := i%2 == 1
 				if !late && m.random.IntN(2) == 0 {
-					gate.Claim(now, "r", "s", bound, 1, func(now time.Time, granted bool) {
+					gate.Claim(now, "r", "s", limit, 1, func(now time.Time, granted bool) {
 						if granted {
 							m.send(i, now)
 						}
 					})
 					return
 				}
-				if gate.Claimable(now, "r", bound) {
-					gate.Claim(now, "r", "s", bound, 5, nil)
+				if gate.Claimable(now, "r", limit) {
+					gate.Claim(now, "r", "s", limit, 5, nil)
 				}
 				// Some gates send at once. Others send at the end of the window and may be frozen after that.
 				sent := false
@@ -149,8 +149,8 @@
 	for seed := range uint64(40) {
 		m := newGateGroup(seed, 7)
 		m.run()
-		if m.maxPerSecond > int(bound.MaxPerSecond) {
-			t.Errorf("seed %d: %d requests within a second, want at most %g", seed, m.maxPerSecond, bound.MaxPerSecond)
+		if m.maxPerSecond > int(limit.MaxPerSecond) {
+			t.Errorf("seed %d: %d requests within a second, want at most %g", seed, m.maxPerSecond, limit.MaxPerSecond)
 		}
 		if m.granted < 30 {
 			t.Errorf("seed %d: %d requests granted in 30 s, want at least 30", seed, m.granted)
@@ -190,23 +190,23 @@
 		gates = append(gates, New(first.options))
 	}
 	for _, gate := range gates {
-		gate.Claim(now, "r", "s", bound, 1, func(now time.Time, granted bool) {
+		gate.Claim(now, "r", "s", limit, 1, func(now time.Time, granted bool) {
 			if granted {
 				served++
-				gate.RecordSend(now, "r", "s", bound, Sender{Nodes: 1}, true)
+				gate.RecordSend(now, "r", "s", limit, Sender{Nodes: 1}, true)
 			}
 		})
 		execute(now, queue, store)
 	}
-	if served != bound.WindowCapacity() {
-		t.Errorf("%d served, want %d", served, bound.WindowCapacity())
+	if served != limit.WindowCapacity() {
+		t.Errorf("%d served, want %d", served, limit.WindowCapacity())
 	}
 	last := gates[len(gates)-1]
-	if wait := last.RetryAfter(now, "r", bound); wait != windowLength {
+	if wait := last.RetryAfter(now, "r", limit); wait != windowLength {
 		t.Errorf("next caller is told to wait %s, want %s", wait, windowLength)
 	}
 	now = now.Add(windowLength)
-	if !last.Claimable(now, "r", bound) {
+	if !last.Claimable(now, "r", limit) {
 		t.Error("no new window after the end of the previous one")
 	}
 }
@@ -222,12 +222,12 @@
 	} {
 		gate, queue, _ := newExactGate()
 		now, outcomes := epoch.Add(time.Second), []bool{}
-		gate.Claim(now, "r", "s", bound, 1, func(_ time.Time, granted bool) { outcomes = append(outcomes, granted) })
+		gate.Claim(now, "r", "s", limit, 1, func(_ time.Time, granted bool) { outcomes = append(outcomes, granted) })
 		queue.Take()[0].(task.Commit).Done(now, port.RecordResult{Status: c.status})
 		if !slices.Equal(outcomes, []bool{false}) || gate.HasGrant(now, "r") {
 			t.Errorf("%s: outcomes %v, want one denial and no grant", c.name, outcomes)
 		}
-		if wait := gate.RetryAfter(now, "r", bound); wait != c.pause {
+		if wait := gate.RetryAfter(now, "r", limit); wait != c.pause {
 			t.Errorf("%s: next attempt after %s, want %s", c.name, wait, c.pause)
 		}
 	}
@@ -238,8 +238,8 @@
 func TestFirstWindowIsDelayed(t *testing.T) {
 	gate, _, _ := newExactGate()
 	now := epoch.Add(time.Second)
-	gate.DelayFirstWindow(now, "r", "s", bound)
-	if gate.Claimable(now.Add(settleTime-time.Millisecond), "r", bound) || !gate.Claimable(now.Add(settleTime), "r", bound) {
+	gate.DelayFirstWindow(now, "r", "s", limit)
+	if gate.Claimable(now.Add(settleTime-time.Millisecond), "r", limit) || !gate.Claimable(now.Add(settleTime), "r", limit) {
 		t.Errorf("first window does not begin after %s", settleTime)
 	}
 }
@@ -259,8 +259,8 @@
 		gate, _, _ := newExactGate()
 		passed := 0
 		for now := epoch; now.Sub(epoch) < time.Second; now = now.Add(time.Millisecond) {
-			for gate.Allows(now, "r", "s", bound, c.sender) {
-				gate.RecordSend(now, "r", "s", bound, c.sender, false)
+			for gate.Allows(now, "r", "s", limit, c.sender) {
+				gate.RecordSend(now, "r", "s", limit, c.sender, false)
 				passed++
 			}
 		}
@@ -285,8 +285,8 @@
 		gate, _, _ := newExactGate()
 		var passed []time.Time
 		for now := epoch; now.Sub(epoch) < 10*time.Second; now = now.Add(5 * time.Millisecond) {
-			for gate.Allows(now, "r", "s", bound, c.sender) {
-				gate.RecordSend(now, "r", "s", bound, c.sender, false)
+			for gate.Allows(now, "r", "s", limit, c.sender) {
+				gate.RecordSend(now, "r", "s", limit, c.sender, false)
 				passed = append(passed, now)
 			}
 			last := slices.DeleteFunc(slices.Clone(passed), func(at time.Time) bool { return now.Sub(at) > time.Second })
@@ -305,9 +305,9 @@
 func TestCallersCountAgainstItems(t *testing.T) {
 	gate, _, _ := newExactGate()
 	for range 17 {
-		gate.RecordSend(epoch, "r", "s", bound, Sender{Nodes: 1}, false)
+		gate.RecordSend(epoch, "r", "s", limit, Sender{Nodes: 1}, false)
 	}
-	if gate.Allows(epoch.Add(time.Second), "r", "s", bound, Sender{Items: true, Nodes: 1}) {
+	if gate.Allows(epoch.Add(time.Second), "r", "s", limit, Sender{Items: true, Nodes: 1}) {
 		t.Error("item allowed although callers have used up the limit")
 	}
 }
@@ -316,7 +316,7 @@
 	gate, queue, store := newExactGate()
 	now := epoch.Add(time.Second)
 	for _, id := range []string{"gone", "listed"} {
-		gate.Claim(now, id, "s", bound, 1, nil)
+		gate.Claim(now, id, "s", limit, 1, nil)
 	}
 	execute(now, queue, store)
 	listed := func(id string) bool { return id == "listed" }
--- a/internal/process/coldstart/window.go
+++ b/internal/process/coldstart/window.go
@@ -60,8 +60,8 @@
 }
 
 // DelayFirstWindow delays the first window of a replica that turned cold while it was known as warm.
-func (g *Gate) DelayFirstWindow(now time.Time, id, service string, bound Limit) {
-	g.replica(id, service, bound).window.notBefore = now.Add(settleTime)
+func (g *Gate) DelayFirstWindow(now time.Time, id, service string, limit Limit) {
+	g.replica(id, service, limit).window.notBefore = now.Add(settleTime)
 }
 
 // HasGrant reports whether this node has an unused grant for a cold replica.
@@ -85,13 +85,13 @@
 }
 
 // Claimable reports whether a claim for a cold replica may succeed now.
-func (g *Gate) Claimable(now time.Time, id string, bound Limit) bool {
-	return g.RetryAfter(now, id, bound) == 0
+func (g *Gate) Claimable(now time.Time, id string, limit Limit) bool {
+	return g.RetryAfter(now, id, limit) == 0
 }
 
 // RetryAfter returns how long to wait before a claim for a cold replica may succeed, 0 if it may succeed now. It
 // keeps no state for unknown replicas.
-func (g *Gate) RetryAfter(now time.Time, id string, bound Limit) time.Duration {
+func (g *Gate) RetryAfter(now time.Time, id string, limit Limit) time.Duration {
 	w := window{}
 	if r := g.replicas[id]; r != nil {
 		w = r.window
@@ -102,19 +102,19 @@
 		// Without this limit callers would try all cold replicas in turn and be denied by each.
 		wait = max(wait, refusedRetryDelay)
 	}
-	if !known || bound.WindowCapacity() == 0 {
+	if !known || limit.WindowCapacity() == 0 {
 		return max(wait, unansweredRetryDelay)
 	}
-	if w.taken < bound.WindowCapacity() && most+sendMargin < w.until {
+	if w.taken < limit.WindowCapacity() && most+sendMargin < w.until {
 		return wait
 	}
 	return max(wait, w.until-least)
 }
 
 // Claim claims requests to a cold replica. done, unless nil, is called with the outcome. If the claim is
-// granted, it must send the request and call Sent before it returns.
-func (g *Gate) Claim(now time.Time, id, service string, bound Limit, want int, done func(now time.Time, granted bool)) {
-	r := g.replica(id, service, bound)
+// granted, it must send the request and call RecordSend before it returns.
+func (g *Gate) Claim(now time.Time, id, service string, limit Limit, want int, done func(now time.Time, granted bool)) {
+	r := g.replica(id, service, limit)
 	w := &r.window
 	if done == nil && w.claiming {
 		return
@@ -134,7 +134,7 @@
 	if len(w.waiting) == 0 {
 		return
 	}
-	if w.attempts >= maxClaimAttempts || g.RetryAfter(now, r.id, r.bound) > 0 {
+	if w.attempts >= maxClaimAttempts || g.RetryAfter(now, r.id, r.limit) > 0 {
 		g.deny(now, r)
 		return
 	}
@@ -173,7 +173,7 @@
 		// windowLength later, so that no third window can begin within a second of the first.
 		until, taken = most+windowLength, 0
 	}
-	took := min(want, r.bound.WindowCapacity()-taken)
+	took := min(want, r.limit.WindowCapacity()-taken)
 	return &doorstepv1.ColdWindow{
 		// Rounded up, as the next window must not begin before this one ends.
 		UntilMs: (until + time.Millisecond - 1).Milliseconds(), Taken: int32(taken + took),
@@ -194,7 +194,7 @@
 			w.granted, w.grantedUntil = 0, w.until
 		}
 		w.granted += took
-		g.figures.Granted++
+		g.stats.Granted++
 		g.options.Queue.Log(event.ColdClaimed, "replica", r.id, "service", r.service, "requests", took, "taken", w.taken, "until_ms", next.UntilMs)
 		g.tryClaim(now, r)
 		return
@@ -240,9 +240,9 @@
 
 // deny rejects all waiting claims.
 func (g *Gate) deny(now time.Time, r *replica) {
-	g.figures.Denied += len(r.window.waiting)
+	g.stats.Denied += len(r.window.waiting)
 	if len(r.window.waiting) > 0 {
-		g.options.Queue.Log(event.ColdClaimDenied, "replica", r.id, "service", r.service, "wait_ms", g.RetryAfter(now, r.id, r.bound).Milliseconds())
+		g.options.Queue.Log(event.ColdClaimDenied, "replica", r.id, "service", r.service, "wait_ms", g.RetryAfter(now, r.id, r.limit).Milliseconds())
 	}
 	r.failWaiting(now)
 }
--- a/internal/process/quarantine/quarantine.go
+++ b/internal/process/quarantine/quarantine.go
@@ -59,7 +59,7 @@
 	// dirty is set if there may be something to write, writing while a transaction is pending.
 	dirty, writing               bool
 	retryAt, expireAt, collectAt time.Time
-	// crashes counts calls of Crashed.
+	// crashes counts calls of RecordCrash.
 	crashes int
 }
 
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -280,8 +280,8 @@
 	if len(reports) != 1 || reports[0] != want {
 		t.Errorf("got %+v, want %+v", reports, want)
 	}
-	if figures := c.nodes[0].Stats(); figures != (Stats{Crashes: 3, Suspects: 1, Held: 1}) {
-		t.Errorf("%+v", figures)
+	if stats := c.nodes[0].Stats(); stats != (Stats{Crashes: 3, Suspects: 1, Held: 1}) {
+		t.Errorf("%+v", stats)
 	}
 }
 
--- a/internal/process/quarantine/report.go
+++ b/internal/process/quarantine/report.go
@@ -11,13 +11,13 @@
 
 // Stats returns the quarantine statistics.
 func (q *Quarantine) Stats() Stats {
-	figures := Stats{Crashes: q.crashes, Suspects: len(q.suspects)}
+	stats := Stats{Crashes: q.crashes, Suspects: len(q.suspects)}
 	for _, s := range q.suspects {
 		if s.held() {
-			figures.Held++
+			stats.Held++
 		}
 	}
-	return figures
+	return stats
 }
 
 // Report describes a suspected request to operators.
