--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -89,7 +89,7 @@
 }
 
 // quarantineStates names the states of requests that crashed replicas.
-var quarantineStates = map[quarantine.State]string{quarantine.Clear: "suspected", quarantine.Held: "held", quarantine.OnTrial: "on trial"}
+var quarantineStates = map[quarantine.State]string{quarantine.Allowed: "suspected", quarantine.Held: "held", quarantine.OnTrial: "on trial"}
 
 func (g *gathering) quarantine() [][]string {
 	records := g.read(port.SharedTable, quarantine.Partition, "")
@@ -101,8 +101,8 @@
 	var rows [][]string
 	for _, one := range known.Reports(time.Time{}) {
 		rows = append(rows, []string{
-			one.Request, one.Route, one.Tenant, number(one.Crashes), number(one.Trials), quarantineStates[one.Verdict.State],
-			number(int(one.Verdict.Left.Seconds())), number(int((g.clock - one.Last).Seconds())),
+			one.Request, one.Route, one.Tenant, number(one.Crashes), number(one.Trials), quarantineStates[one.Decision.State],
+			number(int(one.Decision.Remaining.Seconds())), number(int((g.clock - one.Last).Seconds())),
 		})
 	}
 	return rows
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -179,7 +179,7 @@
 	a.node = cluster.New(a.startedAt, cluster.Options{
 		Name: options.Settings.Name, Topology: options.Settings.Topology(), Cold: options.Settings.Cold, Incarnation: options.Incarnation, Decoder: options.Protocol,
 		OrderPause: options.Settings.Orders.Pause(), Duties: dutiesFromSettings(options.Settings),
-		WallAhead: func() time.Duration { return -a.clock.Suspended() }, LargeList: options.Settings.Store.LargeList,
+		WallClockOffset: func() time.Duration { return -a.clock.Suspended() }, LargeList: options.Settings.Store.LargeList,
 		ProcessorShare: options.Settings.Processor.Share,
 	})
 	return a
@@ -217,7 +217,7 @@
 		case <-ticker.C:
 			a.do(func(now time.Time) {
 				a.node.Tick(now)
-				finished = a.node.MayLeave(now)
+				finished = a.node.CanExit(now)
 			})
 		}
 		if finished {
@@ -308,10 +308,10 @@
 	a.metrics.storeCall(kind, result.Status, a.since(startedAt))
 	a.do(func(now time.Time) {
 		if kind != watchKind {
-			a.node.NoteLatency(now.Sub(startedAt))
+			a.node.ObserveStoreLatency(now.Sub(startedAt))
 		}
 		if result.Clock > 0 {
-			a.node.NoteClock(now, startedAt, result.Clock)
+			a.node.ObserveStoreClock(now, startedAt, result.Clock)
 			a.storeClockOffset.Store(int64(a.node.StoreClock(a.startedAt)))
 		}
 		done(now, result)
--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -189,8 +189,8 @@
 	if left <= 0 {
 		return false
 	}
-	a.do(func(now time.Time) { a.node.BeginReading(now) })
-	defer a.do(func(time.Time) { a.node.EndReading() })
+	a.do(func(now time.Time) { a.node.BeginJobWait(now) })
+	defer a.do(func(time.Time) { a.node.EndJobWait() })
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -89,7 +89,7 @@
 	})
 	gauge("doorstep_replicas", "Replicas listed.", func() float64 { return float64(a.node.Endpoints().Len()) })
 	gauge("doorstep_zones_evacuated", "Zones whose replicas get nothing, as the platform takes them out of use.", func() float64 {
-		return float64(len(a.node.Evacuated()))
+		return float64(len(a.node.EvacuatedZones()))
 	})
 	m.registerWithheld(a)
 	gauge("doorstep_ready", "1 while the node wants new connections.", func() float64 {
@@ -104,23 +104,23 @@
 		}
 		return 0
 	})
-	usage := func(name, help string, value func(figures cluster.UsageFigures) int) {
+	usage := func(name, help string, value func(figures cluster.UsageStats) int) {
 		gauge(name, help, func() float64 { return float64(value(a.node.Usage())) })
 	}
-	usage("doorstep_usage_unwritten", "Requests counted for reports of use that are not on record yet.", func(f cluster.UsageFigures) int { return f.Unwritten })
-	usage("doorstep_usage_windows_reported", "Windows of use that the platform took from this node.", func(f cluster.UsageFigures) int { return f.Reported })
-	usage("doorstep_usage_windows_late", "Those of them that were overdue.", func(f cluster.UsageFigures) int { return f.Late })
+	usage("doorstep_usage_unwritten", "Requests counted for reports of use that are not on record yet.", func(f cluster.UsageStats) int { return f.Unwritten })
+	usage("doorstep_usage_windows_reported", "Windows of use that the platform took from this node.", func(f cluster.UsageStats) int { return f.Reported })
+	usage("doorstep_usage_windows_late", "Those of them that were overdue.", func(f cluster.UsageStats) int { return f.Late })
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "doorstep_replica_crashes_total",
 		Help: "Replicas that ended while a request of this node ran there, once for each request."}, func() float64 {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		return float64(a.node.Quarantine().Figures().Crashes)
+		return float64(a.node.Quarantine().Stats().Crashes)
 	}))
 	gauge("doorstep_requests_suspected", "Requests that were at a replica that ended and were not answered since.", func() float64 {
-		return float64(a.node.Quarantine().Figures().Suspects)
+		return float64(a.node.Quarantine().Stats().Suspects)
 	})
 	gauge("doorstep_requests_quarantined", "Requests that are kept from replicas, as they crash those that run them.", func() float64 {
-		return float64(a.node.Quarantine().Figures().Held)
+		return float64(a.node.Quarantine().Stats().Held)
 	})
 	m.registerCold(a, gauge)
 	counts := func(name, help string, value func(counts batch.Counts) int) {
@@ -222,15 +222,15 @@
 // registerCold registers the metrics of cold replicas.
 func (m *metrics) registerCold(a *Agent, gauge func(name, help string, value func() float64)) {
 	gauge("doorstep_replicas_cold", "Replicas that are cold by their records.", func() float64 { return float64(a.node.Cold().Replicas) })
-	counter := func(name, help string, value func(figures cluster.ColdFigures) int) {
+	counter := func(name, help string, value func(figures cluster.ColdStats) int) {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			return float64(value(a.node.Cold()))
 		}))
 	}
-	counter("doorstep_cold_claims_granted_total", "Claims of requests to cold replicas that were granted.", func(f cluster.ColdFigures) int { return f.Granted })
-	counter("doorstep_cold_claims_denied_total", "Wishes for requests to cold replicas that were not granted.", func(f cluster.ColdFigures) int { return f.Denied })
-	counter("doorstep_cold_requests_total", "Requests sent to cold replicas.", func(f cluster.ColdFigures) int { return f.Sent })
-	counter("doorstep_replica_buckets_empty_total", "Times that a replica was passed over, as its token bucket was empty.", func(f cluster.ColdFigures) int { return f.Held })
+	counter("doorstep_cold_claims_granted_total", "Claims of requests to cold replicas that were granted.", func(f cluster.ColdStats) int { return f.Granted })
+	counter("doorstep_cold_claims_denied_total", "Wishes for requests to cold replicas that were not granted.", func(f cluster.ColdStats) int { return f.Denied })
+	counter("doorstep_cold_requests_total", "Requests sent to cold replicas.", func(f cluster.ColdStats) int { return f.Sent })
+	counter("doorstep_replica_buckets_empty_total", "Times that a replica was passed over, as its token bucket was empty.", func(f cluster.ColdStats) int { return f.Throttled })
 }
--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -17,11 +17,11 @@
 // mayForward reports whether a request may be sent to replicas, and responds if not. Quarantined
 // requests are refused so that client retries do not crash further replicas.
 func (x *exchange) mayForward(w http.ResponseWriter) bool {
-	var verdict quarantine.Verdict
+	var verdict quarantine.Decision
 	served := false
 	x.agent.do(func(now time.Time) {
-		served = x.agent.node.Served(x.route, x.caller.Tenant)
-		verdict = x.agent.node.Quarantine().Judge(now, x.identity.Fingerprint)
+		served = x.agent.node.HasAllowedReplica(x.route, x.caller.Tenant)
+		verdict = x.agent.node.Quarantine().Check(now, x.identity.Fingerprint)
 	})
 	if !served {
 		x.refuseUnserved(w)
@@ -29,7 +29,7 @@
 	}
 	switch verdict.State {
 	case quarantine.Held:
-		x.refuseQuarantined(w, verdict.Left)
+		x.refuseQuarantined(w, verdict.Remaining)
 		return false
 	case quarantine.OnTrial:
 		// Don't use up a trial that no replica could serve.
@@ -39,7 +39,7 @@
 		}
 		x.onTrial = true
 		x.relay.LimitAttempts(1)
-	case quarantine.Clear:
+	case quarantine.Allowed:
 	}
 	return true
 }
@@ -60,23 +60,23 @@
 func (x *exchange) claimTrial() bool {
 	return awaitOutcome(x.request.Context(), func(done chan<- bool) {
 		x.agent.do(func(now time.Time) {
-			x.agent.node.Quarantine().Claim(now, x.identity.Fingerprint, func(_ time.Time, granted bool) { done <- granted })
+			x.agent.node.Quarantine().ClaimTrial(now, x.identity.Fingerprint, func(_ time.Time, granted bool) { done <- granted })
 		})
 	})
 }
 
 // quarantined reports whether the request became quarantined after it was admitted.
 func (x *exchange) quarantined(now time.Time) bool {
-	return !x.onTrial && x.agent.node.Quarantine().Judge(now, x.identity.Fingerprint).State != quarantine.Clear
+	return !x.onTrial && x.agent.node.Quarantine().Check(now, x.identity.Fingerprint).State != quarantine.Allowed
 }
 
 // reportToQuarantine reports the attempt's result to the quarantine.
 func (x *exchange) reportToQuarantine(now time.Time, ended *attempt) {
 	switch {
 	case ended.crashed:
-		x.agent.node.Quarantine().Crashed(now, x.identity, ended.endpoint.Incarnation())
+		x.agent.node.Quarantine().RecordCrash(now, x.identity, ended.endpoint.Incarnation())
 	case ended.succeeded():
-		x.agent.node.Quarantine().Answered(now, x.identity.Fingerprint)
+		x.agent.node.Quarantine().RecordAnswer(now, x.identity.Fingerprint)
 	}
 }
 
--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -28,7 +28,7 @@
 
 // countCrossRegion counts work sent to a replica in another region. The caller must hold the lock.
 func (a *Agent) countCrossRegion(kind, replica string) {
-	if a.node.Elsewhere(replica) {
+	if a.node.InOtherRegion(replica) {
 		a.metrics.crossRegion.WithLabelValues(kind).Inc()
 	}
 }
@@ -41,7 +41,7 @@
 	}
 	a.upstream.SharesTime = true
 	a.upstream.OnConnect = func(address string, took time.Duration) {
-		a.do(func(time.Time) { a.node.NoteConnection(address, took) })
+		a.do(func(time.Time) { a.node.ObserveConnectTime(address, took) })
 	}
 }
 
@@ -57,7 +57,7 @@
 			ConstLabels: prometheus.Labels{"zone": zone, "region": region}}, func() float64 {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return a.node.Away(zone).Seconds()
+			return a.node.ExtraLatency(zone).Seconds()
 		}))
 	}
 }
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -1,11 +1,11 @@
-// Package coldstart bounds what replicas that are cold get. For some seconds after a start a replica
-// bears few requests a second and falls over at well above that, whichever nodes send them; and nodes
-// know nothing of one another, nor at once that a replica turned cold.
+// Package coldstart limits the requests sent to cold replicas. For some seconds after its start a replica
+// handles only a low request rate and fails well above it, whichever nodes send the requests. Nodes do not
+// communicate directly and do not learn at once that a replica has turned cold.
 //
-// Two means hold the sum of all nodes below the bound. To a replica that is known to be cold, a request
-// is sent only by a node that took it from the replica's window, a row of the record store that is
-// changed under a condition. What nobody has heard yet is bounded by an allowance for each replica,
-// a token bucket and a count of the last second, by which every node's items of batch jobs go at all times.
+// Two mechanisms keep the total of all nodes within the limit. A request to a replica known to be cold
+// requires a grant from the replica's window, a record that nodes update with compare-and-swap. Replicas
+// not yet known to be cold are protected by a limiter per replica, a token bucket and a count of the last
+// second, that applies to all items of batch jobs at all times.
 package coldstart
 
 import (
@@ -18,44 +18,46 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// Bound is what a service's cold replicas bear.
-type Bound struct {
-	// PerSecond is the rate of requests that a cold replica bears, Most the bound on any second.
-	PerSecond, Most float64
-	// Lasts is how long a replica is cold after its start.
-	Lasts time.Duration
+// Limit is the request limit of a service's cold replicas.
+type Limit struct {
+	// PerSecond is the sustained request rate of a cold replica, MaxPerSecond the maximum number of requests in
+	// any second.
+	PerSecond, MaxPerSecond float64
+	// Duration is how long a replica is cold after its start.
+	Duration time.Duration
 }
 
-// NewBound returns the bound of a service: in any second overshoot times its rate, and slack more.
-func NewBound(cold port.ColdStart, overshoot, slack float64) Bound {
-	return Bound{PerSecond: cold.PerSecond, Most: cold.PerSecond*max(overshoot, 1) + slack, Lasts: cold.Lasts}
+// NewLimit returns the limit of a service, which allows overshoot times its rate plus slack in any second.
+func NewLimit(cold port.ColdStart, overshoot, slack float64) Limit {
+	return Limit{PerSecond: cold.PerSecond, MaxPerSecond: cold.PerSecond*max(overshoot, 1) + slack, Duration: cold.Lasts}
 }
 
-// Worth returns how many requests a window holds. Any second meets two windows at the most, so each
-// holds half of the bound.
-func (b Bound) Worth() int { return int(b.Most / 2) }
+// WindowCapacity returns the number of requests that a window grants. Any second overlaps at most two windows, so each
+// grants half of the limit.
+func (l Limit) WindowCapacity() int { return int(l.MaxPerSecond / 2) }
 
-// outOfTouch is the burst, and the rate in a second, of a node that may not know who else sends: it
-// is taken off the bucket of the others.
-const outOfTouch = 1
+// isolatedRate is the burst and the rate per second of a node that may not know the other senders. It is
+// reserved from the other nodes' bucket.
+const isolatedRate = 1
 
-// bucket returns the burst and the rate of the token bucket of one of so many nodes, or with a share of
-// 0 of one that does not know how many there are.
-func (b Bound) bucket(share int) (burst int, refill rate.Limit) {
-	if share == 0 {
-		return outOfTouch, rate.Limit(min(b.PerSecond, outOfTouch))
+// bucket returns the burst and the rate of a single node's token bucket, given the number of sending nodes.
+// 0 stands for an isolated node.
+func (l Limit) bucket(nodes int) (burst int, refill rate.Limit) {
+	if nodes == 0 {
+		return isolatedRate, rate.Limit(min(l.PerSecond, isolatedRate))
 	}
-	whole := max(math.Floor(b.Most-b.PerSecond)-outOfTouch, 1)
-	perSecond := min(b.PerSecond, max(b.Most-whole, 0))
-	return max(int(whole)/share, 1), rate.Limit(perSecond / float64(share))
+	whole := max(math.Floor(l.MaxPerSecond-l.PerSecond)-isolatedRate, 1)
+	perSecond := min(l.PerSecond, max(l.MaxPerSecond-whole, 0))
+	return max(int(whole)/nodes, 1), rate.Limit(perSecond / float64(nodes))
 }
 
-// inAnySecond returns how many requests one of so many nodes may send in any second.
-func (b Bound) inAnySecond(share int) int {
-	if share == 0 {
-		return outOfTouch
+// nodeMaxPerSecond returns a single node's maximum number of requests in any second, given the number of
+// sending nodes. 0 stands for an isolated node.
+func (l Limit) nodeMaxPerSecond(nodes int) int {
+	if nodes == 0 {
+		return isolatedRate
 	}
-	return max((int(b.Most)-outOfTouch)/share, 1)
+	return max((int(l.MaxPerSecond)-isolatedRate)/nodes, 1)
 }
 
 // Options configure a Gate.
@@ -63,45 +65,45 @@
 	Self        string
 	Incarnation uint64
 	Queue       *task.Queue
-	// Clock returns the least and the most that the store's steady clock may show; known is
-	// false before the store's first answer.
+	// Clock returns the bounds of the store's monotonic clock; known is false before the store's first
+	// response.
 	Clock func(now time.Time) (least, most time.Duration, known bool)
 }
 
-// Gate is what one node may send to the replicas of services whose cold replicas bear little; it
-// belongs to the node's loop.
+// Gate decides whether one node may send requests to replicas that may be cold. It is used from the node's
+// loop only.
 type Gate struct {
 	options  Options
 	replicas map[string]*replica
-	// claiming counts the claims under way.
-	claiming int
-	figures  Figures
-	collect  collection
+	// claiming counts the pending claims.
+	claiming  int
+	stats     Stats
+	collector collector
 }
 
-// replica is what the gate knows of one incarnation of a replica.
+// replica is the state of one incarnation of a replica.
 type replica struct {
 	id, service string
-	bound       Bound
-	// items and callers are the allowances of the two kinds of requests.
-	items, callers allowance
+	limit       Limit
+	// items and callers limit the two kinds of requests.
+	items, callers sendLimiter
 	window         window
 }
 
-// New returns a gate that knows of no replica.
+// New returns a gate with empty state.
 func New(options Options) *Gate { return &Gate{options: options, replicas: map[string]*replica{}} }
 
-func (g *Gate) replica(id, service string, bound Bound) *replica {
+func (g *Gate) replica(id, service string, limit Limit) *replica {
 	r := g.replicas[id]
 	if r == nil {
 		r = &replica{id: id, service: service}
 		g.replicas[id] = r
 	}
-	r.bound = bound
+	r.limit = limit
 	return r
 }
 
-// Forget drops a replica that is gone. One that comes back under its ID finds its window in the store.
+// Forget removes a replica that is gone. Its window stays in the store in case it returns under the same ID.
 func (g *Gate) Forget(now time.Time, id string) {
 	r := g.replicas[id]
 	if r == nil {
@@ -109,16 +111,16 @@
 	}
 	delete(g.replicas, id)
 	if !r.window.claiming {
-		r.fail(now)
+		r.failWaiting(now)
 	}
 }
 
-// Figures count what the gate did.
-type Figures struct {
-	// Granted and Denied count the claims of requests to cold replicas, by outcome; Sent the requests
-	// that were sent to cold ones; Held how often a replica's bucket was found empty.
-	Granted, Denied, Sent, Held int
+// Stats are the gate's statistics.
+type Stats struct {
+	// Granted and Denied count claims by outcome, Sent the requests sent to cold replicas, and Throttled the
+	// requests rejected by a replica's limiter.
+	Granted, Denied, Sent, Throttled int
 }
 
-// Figures returns the gate's figures.
-func (g *Gate) Figures() Figures { return g.figures }
+// Stats returns the gate's statistics.
+func (g *Gate) Stats() Stats { return g.stats }
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -233,7 +233,7 @@
 	life := n.life
 	n.node = cluster.New(n.world.Now, cluster.Options{
 		Name: n.name, Topology: topologyAt(n.zone), Incarnation: n.life*1000 + uint64(len(n.name)) + n.world.options.Seed<<20, Decoder: decoder{}, OrderPause: orderPause,
-		WallAhead: func() time.Duration { return n.wallAhead }, Duties: simulatedDuties(), Cold: coldSettings,
+		WallClockOffset: func() time.Duration { return n.wallAhead }, Duties: simulatedDuties(), Cold: coldSettings,
 		LargeList: n.world.options.largeList(), ProcessorShare: n.processorShare,
 	})
 	n.world.Every(tickEvery, func() bool {
@@ -241,7 +241,7 @@
 			return false
 		}
 		n.do(life, func(now time.Time) { n.node.Tick(now) })
-		if n.stopping && n.node.MayLeave(n.world.Now) {
+		if n.stopping && n.node.CanExit(n.world.Now) {
 			n.kill(startupTime)
 		}
 		return true
@@ -356,10 +356,10 @@
 
 func (n *node) noted(now, sentAt time.Time, held bool, result port.RecordResult, done func(now time.Time, result port.RecordResult)) {
 	if !held {
-		n.node.NoteLatency(now.Sub(sentAt))
+		n.node.ObserveStoreLatency(now.Sub(sentAt))
 	}
 	if result.Clock > 0 {
-		n.node.NoteClock(now, sentAt, result.Clock)
+		n.node.ObserveStoreClock(now, sentAt, result.Clock)
 	}
 	done(now, result)
 }
--- a/internal/version/batch/item.go
+++ b/internal/version/batch/item.go
@@ -178,7 +178,7 @@
 	}
 	it.textCompletedAt = now
 	it.finalEvents = len(it.events)
-	o.jobs.options.Quarantine.Answered(now, it.request.Fingerprint)
+	o.jobs.options.Quarantine.RecordAnswer(now, it.request.Fingerprint)
 	o.jobs.options.Queue.Log(event.ItemCompleted, "job", o.id, "item", o.job.Items[index].Id, "group", o.job.Items[index].Group, "replica", it.endpoint, "events", len(it.events),
 		"versions", versionsOf(it.events), "runs", it.runs, "moves", it.moves, "interruptions", it.interruptions, "long", it.long,
 		"since_ms", now.Sub(it.startedAt).Milliseconds(), "last_run_events", len(last.Events), "pace_us", last.Pace.Microseconds(), "to_score", o.job.Items[index].Scoring != nil)
--- a/internal/version/batch/move_test.go
+++ b/internal/version/batch/move_test.go
@@ -91,7 +91,7 @@
 	n.jobs.options.ExpectedTokens = func(*port.Route, http.Header, int) int { return 700 }
 	it := &n.jobs.owned["j"].items[0]
 	for i := range quarantine.CrashLimit - 1 {
-		n.jobs.options.Quarantine.Crashed(n.now, it.request, fmt.Sprint("gone-", i))
+		n.jobs.options.Quarantine.RecordCrash(n.now, it.request, fmt.Sprint("gone-", i))
 	}
 	n.jobs.isolatedRuns["taken"] = 1
 	var wanted Placement
--- a/internal/version/batch/quarantine.go
+++ b/internal/version/batch/quarantine.go
@@ -18,8 +18,8 @@
 	if t.granted {
 		return true
 	}
-	switch o.jobs.options.Quarantine.Judge(now, request.Fingerprint).State {
-	case quarantine.Clear:
+	switch o.jobs.options.Quarantine.Check(now, request.Fingerprint).State {
+	case quarantine.Allowed:
 		return true
 	case quarantine.OnTrial:
 		o.claimTrial(now, request, t)
@@ -34,7 +34,7 @@
 		return
 	}
 	t.claiming = true
-	o.jobs.options.Quarantine.Claim(now, request.Fingerprint, func(_ time.Time, granted bool) {
+	o.jobs.options.Quarantine.ClaimTrial(now, request.Fingerprint, func(_ time.Time, granted bool) {
 		*t = trial{granted: granted}
 	})
 }
@@ -76,7 +76,7 @@
 // recordCrash reports a replica that crashed while it was processing a request of this job.
 func (o *ownedJob) recordCrash(now time.Time, request quarantine.Request, chosen *endpoint.Endpoint, crashed bool) {
 	if crashed {
-		o.jobs.options.Quarantine.Crashed(now, request, chosen.Incarnation())
+		o.jobs.options.Quarantine.RecordCrash(now, request, chosen.Incarnation())
 	}
 }
 
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -206,7 +206,7 @@
 func (o *ownedJob) onScored(now time.Time, index int, chosen *endpoint.Endpoint, score string) {
 	it := &o.items[index]
 	o.stopScoring(it)
-	o.jobs.options.Quarantine.Answered(now, it.scoringRequest.Fingerprint)
+	o.jobs.options.Quarantine.RecordAnswer(now, it.scoringRequest.Fingerprint)
 	o.jobs.options.Queue.Log(event.ItemScored, "job", o.id, "item", o.job.Items[index].Id, "call", o.job.Items[index].Scoring.Id,
 		"replica", chosen.ID, "attempts", it.scoringCalls, "since_whole_ms", now.Sub(it.textCompletedAt).Milliseconds())
 	o.finishItem(now, index, score)
