--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -218,7 +218,7 @@
 func (j *Jobs) OnHead(now time.Time, record port.Record) {
 	if record.Deleted {
 		delete(j.heads, record.Key)
-		j.drop(now, record.Key, "job deleted")
+		j.drop(now, record.Key, "the job is gone")
 		return
 	}
 	known := j.heads[record.Key]
@@ -253,7 +253,7 @@
 	switch job := j.owned[id]; {
 	case job == nil:
 	case decoded.Ended:
-		j.drop(now, id, "job ended")
+		j.drop(now, id, "the job was ended")
 	case !j.isOwner(decoded):
 		j.drop(now, id, "owned by "+decoded.Owner)
 	default:
--- a/internal/version/batch/move.go
+++ b/internal/version/batch/move.go
@@ -30,11 +30,11 @@
 const (
 	noMove moveReason = ""
 	// degradedReplica means that the replica is much slower than others.
-	degradedReplica moveReason = "degraded replica"
+	degradedReplica moveReason = "troubled replica"
 	// delaysStep means that the text is likely to miss the deadline on its current replica.
-	delaysStep moveReason = "may miss the deadline"
+	delaysStep moveReason = "may decide its step"
 	// unknownLength means that the length history is insufficient and the text is not short.
-	unknownLength moveReason = "unknown length"
+	unknownLength moveReason = "length unknown"
 )
 
 // moveCandidate is a run for which a faster replica is available.
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -106,7 +106,7 @@
 // once. It may acquire it again under a newer fence.
 func (l *Lease) OnFenced(fence int64) {
 	if l.held && fence == l.fence {
-		l.lose("act rejected because of a newer fence")
+		l.lose("refused for a newer fence")
 	}
 }
 
@@ -216,7 +216,7 @@
 		l.record = decoded
 	}
 	if l.held && !l.ownRecord() {
-		l.lose("taken over by " + l.record.Holder)
+		l.lose("taken by " + l.record.Holder)
 	}
 }
 
--- a/internal/version/usage/counter.go
+++ b/internal/version/usage/counter.go
@@ -144,14 +144,14 @@
 		c.Count(now, request.at, request.tenant)
 	}
 	if c.dropped > 0 {
-		c.options.Queue.Log(event.UsageLost, "requests", c.dropped, "reason", "too many requests before the usage clock was set")
+		c.options.Queue.Log(event.UsageLost, "requests", c.dropped, "reason", "too many before the clock was known")
 		c.dropped = 0
 	}
 }
 
 func (c *Counter) discard(window int64, entry *counts) {
 	if entry.total > entry.written {
-		c.options.Queue.Log(event.UsageLost, "window", window, "requests", entry.total-entry.written, "reason", "counts could not be written in time")
+		c.options.Queue.Log(event.UsageLost, "window", window, "requests", entry.total-entry.written, "reason", "the store could not be reached in time")
 	}
 	delete(c.windows, window)
 }
