--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -52,7 +52,7 @@
 	SetRequestID(header http.Header, id string)
 	Deadline(header http.Header) (time.Duration, bool)
 	Wait(header http.Header) time.Duration
-	SetReplica(header http.Header, replica string, left time.Duration)
+	SetReplicaAndDeadline(header http.Header, replica string, left time.Duration)
 	SetLastEvent(header http.Header, lastEvent string)
 	LastEvent(header http.Header) string
 	SetUrgent(header http.Header)
@@ -71,7 +71,7 @@
 	DecodeOrderStatus(status int) port.VersionOrderStatus
 	ReportPath() string
 	DecodeReport(content []byte) port.ReplicaReport
-	GenerationHeader(model, prompt string, maxTokens int) http.Header
+	RolloutHeader(model, prompt string, maxTokens int) http.Header
 	experiment.Targets
 }
 
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -38,7 +38,7 @@
 func (a *Agent) stream(ctx context.Context, cancel context.CancelFunc, t task.Run) task.RunResult {
 	header := t.Header
 	a.protocol.SetRequestID(header, t.Item)
-	a.protocol.SetReplica(header, t.Replica, t.Limit)
+	a.protocol.SetReplicaAndDeadline(header, t.Replica, t.Limit)
 	a.setTenantHeader(header, a.jobCaller(t.Tenant))
 	if t.Urgent {
 		a.protocol.SetUrgent(header)
@@ -193,7 +193,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	header := http.Header{}
-	a.protocol.SetReplica(header, replica, limit)
+	a.protocol.SetReplicaAndDeadline(header, replica, limit)
 	if body != nil {
 		header.Set("Content-Type", "application/json")
 	}
--- a/internal/process/agent/scoring.go
+++ b/internal/process/agent/scoring.go
@@ -14,7 +14,7 @@
 func (a *Agent) callScoring(ctx context.Context, t task.ScoringCall) {
 	header := http.Header{}
 	a.protocol.SetRequestID(header, t.Request)
-	a.protocol.SetReplica(header, t.Replica, t.Limit)
+	a.protocol.SetReplicaAndDeadline(header, t.Replica, t.Limit)
 	a.setTenantHeader(header, a.jobCaller(t.Tenant))
 	startedAt := time.Now()
 	ended := a.doBuffered(ctx, &upstream.Call{
