--- a/internal/soak/kept.go
+++ b/internal/soak/kept.go
@@ -16,7 +16,7 @@
 	for _, n := range s.nodes {
 		kept := &http.Transport{DisableCompression: true}
 		defer kept.CloseIdleConnections()
-		clients[n] = platformtest.Client{Kept: kept}
+		clients[n] = platformtest.Client{Transport: kept}
 	}
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprintf("k%d.%d", number, i)
