--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -163,7 +163,7 @@
 }
 
 // Answered takes the answer to a plain request and the body that it should have.
-func (c *Checker) Answered(id, want string, answer platformtest.Answer) {
+func (c *Checker) Answered(id, want string, answer platformtest.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.Err != nil {
@@ -178,7 +178,7 @@
 }
 
 // checkNotRun holds a promise that a request did not run against the replicas' runs.
-func (c *Checker) checkNotRun(id string, answer platformtest.Answer) {
+func (c *Checker) checkNotRun(id string, answer platformtest.Response) {
 	if !answer.NotRun() || !c.atMostOnce[id] {
 		return
 	}
@@ -189,7 +189,7 @@
 }
 
 // Streamed takes a stream that came to its proper end.
-func (c *Checker) Streamed(id string, answer platformtest.Answer) {
+func (c *Checker) Streamed(id string, answer platformtest.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["streams"]++
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -38,7 +38,7 @@
 	}{
 		{"whole answer", "", func(c *Checker) { c.Answered("r", "b", platformtest.Signed(200, "b")) }},
 		{"foreign answer", "not \"b\"", func(c *Checker) { c.Answered("r", "b", platformtest.Signed(200, "a")) }},
-		{"unsigned success", "signed false", func(c *Checker) { c.Answered("r", "b", platformtest.Answer{Status: 200, Body: []byte("b")}) }},
+		{"unsigned success", "signed false", func(c *Checker) { c.Answered("r", "b", platformtest.Response{Status: 200, Body: []byte("b")}) }},
 		{"repeatable twice", "", func(c *Checker) { c.Ran("x", "r"); c.Ran("y", "r") }},
 		{"unsafe twice", "ran 2 times", func(c *Checker) { c.AtMostOnce("r"); c.Ran("x", "r"); c.Ran("y", "r") }},
 		{"refused after its run", "was answered 503", func(c *Checker) {
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -87,11 +87,11 @@
 	}
 }
 
-func (s *Soak) send(ctx context.Context, n *node, method, path, id string, body []byte) platformtest.Answer {
+func (s *Soak) send(ctx context.Context, n *node, method, path, id string, body []byte) platformtest.Response {
 	return s.sendBy(ctx, platformtest.Client{}, n, method, path, id, body)
 }
 
-func (s *Soak) sendBy(ctx context.Context, client platformtest.Client, n *node, method, path, id string, body []byte) platformtest.Answer {
+func (s *Soak) sendBy(ctx context.Context, client platformtest.Client, n *node, method, path, id string, body []byte) platformtest.Response {
 	return client.Send(ctx, platformtest.Call{Address: n.address, Method: method, Path: path, ID: id, Key: lastingKey, Body: body, Deadline: callDeadline})
 }
 
