--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -36,25 +36,25 @@
 		broken string
 		play   func(c *Checker)
 	}{
-		{"whole answer", "", func(c *Checker) { c.Answered("r", "b", platformtest.Signed(200, "b")) }},
-		{"foreign answer", "not \"b\"", func(c *Checker) { c.Answered("r", "b", platformtest.Signed(200, "a")) }},
+		{"whole answer", "", func(c *Checker) { c.Answered("r", "b", platformtest.SignedResponse(200, "b")) }},
+		{"foreign answer", "not \"b\"", func(c *Checker) { c.Answered("r", "b", platformtest.SignedResponse(200, "a")) }},
 		{"unsigned success", "signed false", func(c *Checker) { c.Answered("r", "b", platformtest.Response{Status: 200, Body: []byte("b")}) }},
 		{"repeatable twice", "", func(c *Checker) { c.Ran("x", "r"); c.Ran("y", "r") }},
 		{"unsafe twice", "ran 2 times", func(c *Checker) { c.AtMostOnce("r"); c.Ran("x", "r"); c.Ran("y", "r") }},
 		{"refused after its run", "was answered 503", func(c *Checker) {
 			c.AtMostOnce("r")
 			c.Ran("x", "r")
-			c.Answered("r", "b", platformtest.Signed(503, ""))
+			c.Answered("r", "b", platformtest.SignedResponse(503, ""))
 		}},
 		{"run after its refusal", "after it was answered 429", func(c *Checker) {
 			c.AtMostOnce("r")
-			c.Answered("r", "b", platformtest.Signed(429, ""))
+			c.Answered("r", "b", platformtest.SignedResponse(429, ""))
 			c.Ran("x", "r")
 		}},
 		{"502 promises nothing", "", func(c *Checker) {
 			c.AtMostOnce("r")
 			c.Ran("x", "r")
-			c.Answered("r", "b", platformtest.Signed(502, ""))
+			c.Answered("r", "b", platformtest.SignedResponse(502, ""))
 		}},
 		{"job as promised", "", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
@@ -134,7 +134,7 @@
 			c.Ordered(port.OrderVersion{Fence: 7, Holder: "a", Version: 3}, 5)
 		}},
 		{"cut stream", "ended whole with 1 of", func(c *Checker) {
-			c.Streamed("r", platformtest.Signed(200, "data: "+model.ItemEvent("r", 1)+"\n\n"))
+			c.Streamed("r", platformtest.SignedResponse(200, "data: "+model.ItemEvent("r", 1)+"\n\n"))
 		}},
 	} {
 		checker := NewChecker()
