--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -171,8 +171,8 @@
 		return
 	}
 	c.counts[fmt.Sprint("status ", answer.Status)]++
-	if answer.Status == 200 && (!answer.Stamped() || string(answer.Body) != want) {
-		c.violate("request %s was answered %q (signed %t), not %q", id, answer.Body, answer.Stamped(), want)
+	if answer.Status == 200 && (!answer.IsSigned() || string(answer.Body) != want) {
+		c.violate("request %s was answered %q (signed %t), not %q", id, answer.Body, answer.IsSigned(), want)
 	}
 	c.checkNotRun(id, answer)
 }
