--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -179,7 +179,7 @@
 
 // checkNotRun holds a promise that a request did not run against the replicas' runs.
 func (c *Checker) checkNotRun(id string, answer platformtest.Response) {
-	if !answer.NotRun() || !c.atMostOnce[id] {
+	if !answer.NotExecuted() || !c.atMostOnce[id] {
 		return
 	}
 	c.notRun[id] = fmt.Sprint(answer.Status)
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -157,7 +157,7 @@
 			s.check.Accepted(job, time.Now())
 			return true
 		}
-		refusals = refusals && answer.NotRun()
+		refusals = refusals && answer.NotExecuted()
 		last = answer.Status
 	}
 	if refusals && last != 0 && ctx.Err() == nil {
