--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -238,7 +238,7 @@
 }
 
 // Read takes results that were read from a position on.
-func (c *Checker) Read(job string, from int, reading platformtest.Reading) {
+func (c *Checker) Read(job string, from int, reading platformtest.ResultsPage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.jobs[job]
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -58,43 +58,43 @@
 		}},
 		{"job as promised", "", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{result("j-0", 2), result("j-1", 3)}})
-			c.Read("j", 1, platformtest.Reading{Total: 2, Results: []platformtest.Result{result("j-1", 3)}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{result("j-0", 2), result("j-1", 3)}})
+			c.Read("j", 1, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{result("j-1", 3)}})
 		}},
 		{"position changed", "position 0 held", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{result("j-0", 2)}})
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{result("j-1", 2)}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{result("j-0", 2)}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{result("j-1", 2)}})
 		}},
 		{"two positions", "stands at positions 0 and 1", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{result("j-0", 2), result("j-0", 2)}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{result("j-0", 2), result("j-0", 2)}})
 		}},
-		{"wrong total", "a read says 3", func(c *Checker) { c.Accepted(job, acceptedAt); c.Read("j", 0, platformtest.Reading{Total: 3}) }},
+		{"wrong total", "a read says 3", func(c *Checker) { c.Accepted(job, acceptedAt); c.Read("j", 0, platformtest.ResultsPage{Total: 3}) }},
 		{"old version", "below 2", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{result("j-0", 1)}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{result("j-0", 1)}})
 		}},
 		{"false version", "was made by versions [2] and names [3]", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
 			one := result("j-0", 2)
 			one.Versions = []int64{3}
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{one}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{one}})
 		}},
 		{"cut text", "events", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
 			one := result("j-0", 2)
 			one.Message = one.Message[:strings.LastIndexByte(one.Message, '\n')]
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{one}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{one}})
 		}},
 		{"given up early", "was given up", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{{ID: "j-0", State: platformtest.Terminated}}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{{ID: "j-0", State: platformtest.Terminated}}})
 		}},
 		{"given up after the end", "", func(c *Checker) {
 			c.Accepted(job, acceptedAt)
 			c.Ended("j")
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{{ID: "j-0", State: platformtest.Terminated}}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{{ID: "j-0", State: platformtest.Terminated}}})
 		}},
 		{"scored after its text", "", func(c *Checker) { c.MadeWhole("j-0"); c.Ran("x", "j-0.score") }},
 		{"scored before its text is whole", "before its text is whole", func(c *Checker) { c.Ran("x", "j-0.score") }},
@@ -102,18 +102,18 @@
 			c.Accepted(scoredJob, acceptedAt)
 			one := result("j-0", 2)
 			one.Score = "x.j-1.score"
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{one}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{one}})
 		}},
 		{"no score", "has the score", func(c *Checker) {
 			c.Accepted(scoredJob, acceptedAt)
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{result("j-0", 2)}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{result("j-0", 2)}})
 		}},
 		{"score changed", "position 0 held", func(c *Checker) {
 			c.Accepted(scoredJob, acceptedAt)
 			for _, replica := range []string{"x", "y"} {
 				one := result("j-0", 2)
 				one.Score = replica + ".j-0.score"
-				c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{one}})
+				c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{one}})
 			}
 		}},
 		{"given up as its scoring failed", "", func(c *Checker) {
@@ -121,7 +121,7 @@
 			for range platformtest.ScoringAttempts {
 				c.Failed("j-0.score")
 			}
-			c.Read("j", 0, platformtest.Reading{Total: 2, Results: []platformtest.Result{{ID: "j-0", State: platformtest.Terminated}}})
+			c.Read("j", 0, platformtest.ResultsPage{Total: 2, Results: []platformtest.Result{{ID: "j-0", State: platformtest.Terminated}}})
 		}},
 		{"refused job ran before", "at every try", func(c *Checker) { c.Ran("x", "j-1"); c.Refused(job, 503) }},
 		{"refused job runs", "though its job", func(c *Checker) { c.Refused(job, 503); c.Ran("x", "j-1") }},
