--- a/internal/soak/cold.go
+++ b/internal/soak/cold.go
@@ -27,7 +27,7 @@
 
 // coldServices has cold replicas of all services bear little.
 func coldServices(content []byte) []byte {
-	return platformtest.WithCold(content, coldPerSecond, coldLasts)
+	return platformtest.WithColdStart(content, coldPerSecond, coldLasts)
 }
 
 // coldFor returns how long a replica is cold that starts now: the first ones start before there is
