--- a/internal/soak/cold.go
+++ b/internal/soak/cold.go
@@ -56,7 +56,7 @@
 		s.mu.Unlock()
 		for _, r := range turning {
 			s.check.Count("replicas turned cold")
-			r.TurnCold(coldLasts)
+			r.MakeCold(coldLasts)
 		}
 	}
 }
--- a/internal/soak/cold_test.go
+++ b/internal/soak/cold_test.go
@@ -26,7 +26,7 @@
 		}
 		defer of.Stop()
 		if c.cold {
-			of.TurnCold(coldLasts)
+			of.MakeCold(coldLasts)
 		}
 		replica := &coldReplica{id: "r", link: &Proxy{}}
 		replica.of.Store(of)
