--- a/internal/soak/cold.go
+++ b/internal/soak/cold.go
@@ -74,7 +74,7 @@
 func (r *coldReplica) arrived(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if of := r.of.Load(); of == nil || !of.Cold() || !r.link.Steady(linkSettles) {
+	if of := r.of.Load(); of == nil || !of.IsCold() || !r.link.Steady(linkSettles) {
 		r.arrivals = nil
 		return 0
 	}
