--- a/internal/soak/evacuation.go
+++ b/internal/soak/evacuation.go
@@ -82,7 +82,7 @@
 	harmed := s.links.begun.Load()
 	s.Say("%6.2f s  evacuation of %s for %s", time.Since(s.started).Seconds(), zone, lasts)
 	s.store.Evacuate(zone)
-	defer s.store.Lift(zone)
+	defer s.store.LiftEvacuation(zone)
 	if lasts <= evacuateWithin {
 		time.Sleep(lasts)
 		return
