--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -271,7 +271,7 @@
 			s.configure()
 			s.configuredAt.Store(int64(time.Since(s.started)))
 		}
-		s.store.NameVersion(int(s.version.Add(1)))
+		s.store.SetTargetVersion(int(s.version.Add(1)))
 	}
 }
 
