--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -200,7 +200,7 @@
 // configure writes the next configuration; its version names a route of its own.
 func (s *Soak) configure() int64 {
 	version := s.config.Load() + 1
-	s.store.Put("op", "config", platformtest.WithTenants(withHomes(coldServices(platformtest.Generation(int(version)))), platformtest.Tenant{
+	s.store.Put("op", "config", platformtest.WithTenants(withHomes(coldServices(platformtest.ProbeConfiguration(int(version)))), platformtest.Tenant{
 		Name: tenant, Keys: []string{lastingKey, generationKey(version)},
 	}))
 	s.config.Store(version)
