--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -254,7 +254,7 @@
 func (s *Soak) generation(ctx context.Context, n *node, version int64, attempt int) int {
 	id := fmt.Sprintf("probe-%s-%d-%d-%d", n.name, n.lives.Load(), version, attempt)
 	answer := platformtest.Client{}.Send(ctx, platformtest.Call{
-		Address: n.address, Method: http.MethodPost, Path: platformtest.GenerationPath(int(version)), ID: id, Key: generationKey(version), Deadline: callDeadline,
+		Address: n.address, Method: http.MethodPost, Path: platformtest.ProbePath(int(version)), ID: id, Key: generationKey(version), Deadline: callDeadline,
 	})
 	if answer.Err != nil {
 		return 0
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -314,7 +314,7 @@
 func (s *Soak) waitReady(n *node) bool {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		answer := platformtest.Client{}.Send(context.Background(), platformtest.Call{
-			Address: n.address, Method: http.MethodPost, Path: platformtest.GenerationPath(int(s.config.Load())),
+			Address: n.address, Method: http.MethodPost, Path: platformtest.ProbePath(int(s.config.Load())),
 			ID: fmt.Sprintf("ready-%s-%d", n.name, time.Now().UnixNano()), Key: lastingKey, Deadline: time.Second,
 		})
 		if answer.Err == nil && answer.Status == http.StatusOK {
