--- a/internal/soak/homes.go
+++ b/internal/soak/homes.go
@@ -37,5 +37,5 @@
 
 // withHomes binds homedRoute in a configuration.
 func withHomes(content []byte) []byte {
-	return platformtest.WithHomes(content, homedRoute, homeRegion)
+	return platformtest.WithAllowedRegions(content, homedRoute, homeRegion)
 }
