--- a/internal/command/standin/deployment.go
+++ b/internal/command/standin/deployment.go
@@ -33,7 +33,7 @@
 				}
 			}
 			store.Configure(5, 2000)
-			duties := &platformtest.Duties{Say: func(format string, values ...any) { fmt.Fprintf(c.Root().Writer, format+"\n", values...) }}
+			duties := &platformtest.Duties{Logf: func(format string, values ...any) { fmt.Fprintf(c.Root().Writer, format+"\n", values...) }}
 			mux := http.NewServeMux()
 			mux.Handle("/", store)
 			mux.Handle("/usage", duties)
