--- a/internal/command/standin/deployment.go
+++ b/internal/command/standin/deployment.go
@@ -54,7 +54,7 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			startedAt := time.Now()
-			session := &platformtest.Session{Store: c.String("store"), Nodes: c.StringSlice("node"), Say: func(format string, values ...any) {
+			session := &platformtest.Session{Store: c.String("store"), Nodes: c.StringSlice("node"), Logf: func(format string, values ...any) {
 				fmt.Fprintf(c.Root().Writer, "%6.2f s  %s\n", time.Since(startedAt).Seconds(), fmt.Sprintf(format, values...))
 			}}
 			if err := session.Run(ctx); err != nil {
