--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -304,7 +304,7 @@
 	flag := &s.store.Late
 	switch fault.Kind {
 	case StoreSilent:
-		flag = &s.store.Silent
+		flag = &s.store.Unresponsive
 	case StoreRefusing:
 		flag = &s.store.Refusing
 	case StoreLosing:
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -337,7 +337,7 @@
 
 // heal ends every fault that is left.
 func (s *Soak) heal() {
-	s.store.Silent.Store(false)
+	s.store.Unresponsive.Store(false)
 	s.store.Refusing.Store(false)
 	s.store.Losing.Store(false)
 	s.store.Late.Store(false)
