--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -306,7 +306,7 @@
 	case StoreSilent:
 		flag = &s.store.Unresponsive
 	case StoreRefusing:
-		flag = &s.store.Refusing
+		flag = &s.store.Unavailable
 	case StoreLosing:
 		flag = &s.store.Losing
 	case StoreLate, StoreForget, StoreHush, StoreSlow:
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -338,7 +338,7 @@
 // heal ends every fault that is left.
 func (s *Soak) heal() {
 	s.store.Unresponsive.Store(false)
-	s.store.Refusing.Store(false)
+	s.store.Unavailable.Store(false)
 	s.store.Losing.Store(false)
 	s.store.Late.Store(false)
 	s.store.SlowBy.Store(0)
