--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -308,7 +308,7 @@
 	case StoreRefusing:
 		flag = &s.store.Unavailable
 	case StoreLosing:
-		flag = &s.store.Losing
+		flag = &s.store.DropResponses
 	case StoreLate, StoreForget, StoreHush, StoreSlow:
 	}
 	flag.Store(true)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -339,7 +339,7 @@
 func (s *Soak) heal() {
 	s.store.Unresponsive.Store(false)
 	s.store.Unavailable.Store(false)
-	s.store.Losing.Store(false)
+	s.store.DropResponses.Store(false)
 	s.store.Late.Store(false)
 	s.store.SlowBy.Store(0)
 	for _, n := range s.nodes {
