--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -301,7 +301,7 @@
 		return
 	case StoreSilent, StoreRefusing, StoreLosing, StoreLate:
 	}
-	flag := &s.store.Late
+	flag := &s.store.DelayCommits
 	switch fault.Kind {
 	case StoreSilent:
 		flag = &s.store.Unresponsive
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -340,7 +340,7 @@
 	s.store.Unresponsive.Store(false)
 	s.store.Unavailable.Store(false)
 	s.store.DropResponses.Store(false)
-	s.store.Late.Store(false)
+	s.store.DelayCommits.Store(false)
 	s.store.SlowBy.Store(0)
 	for _, n := range s.nodes {
 		for _, link := range []*Proxy{n.toStore, n.toClients} {
