--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -295,9 +295,9 @@
 		s.store.Records.Forget()
 		return
 	case StoreSlow:
-		s.store.SlowBy.Store(int64(200 * time.Millisecond))
+		s.store.AddedLatency.Store(int64(200 * time.Millisecond))
 		time.Sleep(fault.For)
-		s.store.SlowBy.Store(0)
+		s.store.AddedLatency.Store(0)
 		return
 	case StoreSilent, StoreRefusing, StoreLosing, StoreLate:
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -341,7 +341,7 @@
 	s.store.Unavailable.Store(false)
 	s.store.DropResponses.Store(false)
 	s.store.DelayCommits.Store(false)
-	s.store.SlowBy.Store(0)
+	s.store.AddedLatency.Store(0)
 	for _, n := range s.nodes {
 		for _, link := range []*Proxy{n.toStore, n.toClients} {
 			link.SetMode(LinkOpen)
