--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -332,7 +332,7 @@
 	}
 	switch fault.Kind {
 	case ReplicaBreaks:
-		r.Broken.Store(true)
+		r.BreakStreams.Store(true)
 	case ReplicaFails:
 		// An item that fails at every attempt is given up, so plain replicas alone fail.
 		if r.Model == "" {
@@ -362,7 +362,7 @@
 
 // healReplica ends every fault of a replica.
 func healReplica(r *replica) {
-	for _, flag := range []*atomic.Bool{&r.Broken, &r.Failing, &r.Full, &r.Losing, &r.Doubling} {
+	for _, flag := range []*atomic.Bool{&r.BreakStreams, &r.Failing, &r.Full, &r.Losing, &r.Doubling} {
 		flag.Store(false)
 	}
 	r.SlowBy.Store(0)
