--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -341,7 +341,7 @@
 	case ReplicaFull:
 		r.Full.Store(true)
 	case ReplicaLoses:
-		r.Losing.Store(true)
+		r.DropResponses.Store(true)
 	case ReplicaDoubles:
 		r.Doubling.Store(true)
 	case ReplicaSlow:
@@ -362,7 +362,7 @@
 
 // healReplica ends every fault of a replica.
 func healReplica(r *replica) {
-	for _, flag := range []*atomic.Bool{&r.BreakStreams, &r.Failing, &r.Full, &r.Losing, &r.Doubling} {
+	for _, flag := range []*atomic.Bool{&r.BreakStreams, &r.Failing, &r.Full, &r.DropResponses, &r.Doubling} {
 		flag.Store(false)
 	}
 	r.SlowBy.Store(0)
