--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -343,7 +343,7 @@
 	case ReplicaLoses:
 		r.DropResponses.Store(true)
 	case ReplicaDoubles:
-		r.Doubling.Store(true)
+		r.DuplicateResponses.Store(true)
 	case ReplicaSlow:
 		r.SlowBy.Store(int64(slowReplicaBy))
 	case ReplicaDrains:
@@ -362,7 +362,7 @@
 
 // healReplica ends every fault of a replica.
 func healReplica(r *replica) {
-	for _, flag := range []*atomic.Bool{&r.BreakStreams, &r.Failing, &r.Full, &r.DropResponses, &r.Doubling} {
+	for _, flag := range []*atomic.Bool{&r.BreakStreams, &r.Failing, &r.Full, &r.DropResponses, &r.DuplicateResponses} {
 		flag.Store(false)
 	}
 	r.SlowBy.Store(0)
