--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -345,7 +345,7 @@
 	case ReplicaDoubles:
 		r.DuplicateResponses.Store(true)
 	case ReplicaSlow:
-		r.SlowBy.Store(int64(slowReplicaBy))
+		r.AddedLatency.Store(int64(slowReplicaBy))
 	case ReplicaDrains:
 		s.replace(r, true)
 		return
@@ -365,5 +365,5 @@
 	for _, flag := range []*atomic.Bool{&r.BreakStreams, &r.Failing, &r.Full, &r.DropResponses, &r.DuplicateResponses} {
 		flag.Store(false)
 	}
-	r.SlowBy.Store(0)
+	r.AddedLatency.Store(0)
 }
