--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -217,7 +217,7 @@
 	cold := &coldReplica{id: id, link: link}
 	cfg := platformtest.ReplicaConfig{
 		ID: id, Service: service, Model: model, Zone: zone, Version: s.version.Load(), VersionInEvents: true, Pace: 15 * time.Millisecond,
-		Via: func(address string) string {
+		MapAddress: func(address string) string {
 			if link.Target != "" {
 				return link.listener.Addr().String()
 			}
