--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -216,7 +216,7 @@
 	link := &Proxy{Uses: s.toReplica(zone)}
 	cold := &coldReplica{id: id, link: link}
 	cfg := platformtest.ReplicaConfig{
-		ID: id, Service: service, Model: model, Zone: zone, Version: s.version.Load(), VersionInEvents: true, Pace: 15 * time.Millisecond,
+		ID: id, Service: service, Model: model, Zone: zone, Version: s.version.Load(), VersionInEvents: true, EventInterval: 15 * time.Millisecond,
 		MapAddress: func(address string) string {
 			if link.Target != "" {
 				return link.listener.Addr().String()
