--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -236,9 +236,9 @@
 			}
 			s.check.Ran(id, request)
 		},
-		OnWhole:  s.check.MadeWhole,
-		OnFailed: s.check.Failed,
-		OnOrder:  s.check.Ordered,
+		OnTextComplete: s.check.MadeWhole,
+		OnFailed:       s.check.Failed,
+		OnOrder:        s.check.Ordered,
 	}
 	one, err := platformtest.StartReplicaConfig(s.store, cfg)
 	if err != nil {
