--- a/internal/soak/drain.go
+++ b/internal/soak/drain.go
@@ -45,9 +45,9 @@
 	calm := s.calmFor() > inTouch
 	r.Drain()
 	time.Sleep(drainWithin + drainSlack)
-	before := r.Taken()
+	before := r.TotalRuns()
 	time.Sleep(lingerFor)
-	if late := r.Taken() - before; late > 0 && calm && s.calmFor() > inTouch+drainWithin+drainSlack+lingerFor {
+	if late := r.TotalRuns() - before; late > 0 && calm && s.calmFor() > inTouch+drainWithin+drainSlack+lingerFor {
 		s.check.Violate("replica %s got %d requests later than %s after it said that it leaves", r.ID, late, drainWithin+drainSlack)
 	}
 }
--- a/internal/soak/evacuation.go
+++ b/internal/soak/evacuation.go
@@ -110,7 +110,7 @@
 	taken := map[string]int64{}
 	for _, r := range s.replicas {
 		if r.Zone == zone {
-			taken[r.ID] = r.Taken()
+			taken[r.ID] = r.TotalRuns()
 		}
 	}
 	return taken
