--- a/internal/connection/upstream/silent_test.go
+++ b/internal/connection/upstream/silent_test.go
@@ -12,7 +12,7 @@
 // TestSilentAddressLeavesTime: behind a cut link no connection comes up. The call ends with most of
 // its time left, and tells that nothing was sent.
 func TestSilentAddressLeavesTime(t *testing.T) {
-	silent, err := platformtest.NewSilent()
+	silent, err := platformtest.NewBlackholeListener()
 	if err != nil {
 		t.Fatal(err)
 	}
