--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -55,7 +55,7 @@
 	Address(header http.Header, replica string, left time.Duration)
 	Resume(header http.Header, lastEvent string)
 	LastEvent(header http.Header) string
-	Urge(header http.Header)
+	SetUrgent(header http.Header)
 	Key(header http.Header) (port.KeyDigest, bool)
 	SetTenant(header http.Header, tenant string)
 	Signature(header http.Header) string
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -41,7 +41,7 @@
 	a.protocol.Address(header, t.Replica, t.Limit)
 	a.mark(header, a.jobCaller(t.Tenant))
 	if t.Urgent {
-		a.protocol.Urge(header)
+		a.protocol.SetUrgent(header)
 	}
 	if t.After > 0 {
 		a.protocol.Resume(header, strconv.FormatInt(t.After, 10))
