--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -52,7 +52,7 @@
 	SetRequestID(header http.Header, id string)
 	Deadline(header http.Header) (time.Duration, bool)
 	Wait(header http.Header) time.Duration
-	Address(header http.Header, replica string, left time.Duration)
+	SetReplicaAndDeadline(header http.Header, replica string, left time.Duration)
 	Resume(header http.Header, lastEvent string)
 	LastEvent(header http.Header) string
 	SetUrgent(header http.Header)
--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -220,7 +220,7 @@
 	header := x.request.Header.Clone()
 	dropConnectionHeaders(header)
 	x.agent.mark(header, x.caller)
-	x.agent.protocol.Address(header, chosen.ID, left)
+	x.agent.protocol.SetReplicaAndDeadline(header, chosen.ID, left)
 	return &upstream.Call{
 		Address: chosen.Address, Method: x.request.Method, Target: target(x.request), Host: x.request.Host,
 		Header: header, Body: x.body, ID: x.id, IDOf: x.agent.protocol.RequestID, Late: x.agent.lateAfter(x.sendBy),
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -38,7 +38,7 @@
 func (a *Agent) stream(ctx context.Context, cancel context.CancelFunc, t task.Run) task.RunResult {
 	header := t.Header
 	a.protocol.SetRequestID(header, t.Item)
-	a.protocol.Address(header, t.Replica, t.Limit)
+	a.protocol.SetReplicaAndDeadline(header, t.Replica, t.Limit)
 	a.mark(header, a.jobCaller(t.Tenant))
 	if t.Urgent {
 		a.protocol.SetUrgent(header)
@@ -191,7 +191,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	header := http.Header{}
-	a.protocol.Address(header, replica, limit)
+	a.protocol.SetReplicaAndDeadline(header, replica, limit)
 	if body != nil {
 		header.Set("Content-Type", "application/json")
 	}
--- a/internal/process/agent/scoring.go
+++ b/internal/process/agent/scoring.go
@@ -14,7 +14,7 @@
 func (a *Agent) callScoring(ctx context.Context, t task.ScoringCall) {
 	header := http.Header{}
 	a.protocol.SetRequestID(header, t.Request)
-	a.protocol.Address(header, t.Replica, t.Limit)
+	a.protocol.SetReplicaAndDeadline(header, t.Replica, t.Limit)
 	a.mark(header, a.jobCaller(t.Tenant))
 	startedAt := time.Now()
 	ended := a.exchangeWhole(ctx, &upstream.Call{
