--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -53,7 +53,7 @@
 	Deadline(header http.Header) (time.Duration, bool)
 	Wait(header http.Header) time.Duration
 	SetReplicaAndDeadline(header http.Header, replica string, left time.Duration)
-	Resume(header http.Header, lastEvent string)
+	SetLastEvent(header http.Header, lastEvent string)
 	LastEvent(header http.Header) string
 	SetUrgent(header http.Header)
 	Key(header http.Header) (port.KeyDigest, bool)
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -44,7 +44,7 @@
 		a.protocol.SetUrgent(header)
 	}
 	if t.After > 0 {
-		a.protocol.Resume(header, strconv.FormatInt(t.After, 10))
+		a.protocol.SetLastEvent(header, strconv.FormatInt(t.After, 10))
 	}
 	silence := time.AfterFunc(t.FirstWithin, cancel)
 	defer silence.Stop()
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -100,7 +100,7 @@
 func (s *relayedStream) pass(ctx context.Context, chosen *endpoint.Endpoint) (relay.Outcome, error) {
 	call := s.call(chosen, s.relay.Left(time.Now()))
 	if s.begun {
-		s.agent.protocol.Resume(call.Header, strconv.FormatInt(s.last, 10))
+		s.agent.protocol.SetLastEvent(call.Header, strconv.FormatInt(s.last, 10))
 	}
 	sentAt := s.agent.clock.Now()
 	answer, err := s.agent.upstream.Do(ctx, call)
