--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -51,7 +51,7 @@
 	RequestID(header http.Header) string
 	SetRequestID(header http.Header, id string)
 	Deadline(header http.Header) (time.Duration, bool)
-	Wait(header http.Header) time.Duration
+	MaxWait(header http.Header) time.Duration
 	SetReplicaAndDeadline(header http.Header, replica string, left time.Duration)
 	SetLastEvent(header http.Header, lastEvent string)
 	LastEvent(header http.Header) string
--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -154,7 +154,7 @@
 // readJob answers with results from a position on; it is held until there is one.
 func (a *Agent) readJob(w http.ResponseWriter, r *http.Request, call port.JobCall) {
 	startedAt := time.Now()
-	until := startedAt.Add(min(a.protocol.Wait(r.Header), longestWait))
+	until := startedAt.Add(min(a.protocol.MaxWait(r.Header), longestWait))
 	for {
 		changed := a.watchJob(call.Job)
 		read := a.readResults(r.Context(), call)
