--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -56,7 +56,7 @@
 	SetLastEvent(header http.Header, lastEvent string)
 	LastEvent(header http.Header) string
 	SetUrgent(header http.Header)
-	Key(header http.Header) (port.KeyDigest, bool)
+	APIKey(header http.Header) (port.KeyDigest, bool)
 	SetTenant(header http.Header, tenant string)
 	Signature(header http.Header) string
 	NotExecuted(status int, header http.Header) bool
