--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -71,7 +71,7 @@
 	DecodeOrderStatus(status int) port.VersionOrderStatus
 	ReportPath() string
 	DecodeReport(content []byte) port.ReplicaReport
-	Describe(model, prompt string, maxTokens int) http.Header
+	RolloutHeader(model, prompt string, maxTokens int) http.Header
 	experiment.Targets
 }
 
--- a/internal/process/agent/trainer.go
+++ b/internal/process/agent/trainer.go
@@ -41,7 +41,7 @@
 
 func (a *Agent) newSteps() *experiment.Steps {
 	return &experiment.Steps{
-		Store: a.store, Jobs: stepJobs{a}, Targets: a.protocol, Describe: a.protocol.Describe,
+		Store: a.store, Jobs: stepJobs{a}, Targets: a.protocol, Describe: a.protocol.RolloutHeader,
 		Configuration: func() *doorstepv1.Configuration {
 			a.mu.Lock()
 			defer a.mu.Unlock()
