--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -154,7 +154,7 @@
 // readJob responds with the results from a position on, waiting until there is at least one.
 func (a *Agent) readJob(w http.ResponseWriter, r *http.Request, call port.JobCall) {
 	startedAt := time.Now()
-	until := startedAt.Add(min(a.protocol.Wait(r.Header), maxResultWait))
+	until := startedAt.Add(min(a.protocol.MaxWait(r.Header), maxResultWait))
 	for {
 		changed := a.watchJob(call.Job)
 		read := a.readResults(r.Context(), call)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -163,7 +163,7 @@
 }
 
 // Answered takes the answer to a plain request and the body that it should have.
-func (c *Checker) Answered(id, want string, answer platformtest.Answer) {
+func (c *Checker) Answered(id, want string, answer platformtest.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.Err != nil {
@@ -171,15 +171,15 @@
 		return
 	}
 	c.counts[fmt.Sprint("status ", answer.Status)]++
-	if answer.Status == 200 && (!answer.Stamped() || string(answer.Body) != want) {
-		c.violate("request %s was answered %q (signed %t), not %q", id, answer.Body, answer.Stamped(), want)
+	if answer.Status == 200 && (!answer.IsSigned() || string(answer.Body) != want) {
+		c.violate("request %s was answered %q (signed %t), not %q", id, answer.Body, answer.IsSigned(), want)
 	}
 	c.checkNotRun(id, answer)
 }
 
 // checkNotRun holds a promise that a request did not run against the replicas' runs.
-func (c *Checker) checkNotRun(id string, answer platformtest.Answer) {
-	if !answer.NotRun() || !c.atMostOnce[id] {
+func (c *Checker) checkNotRun(id string, answer platformtest.Response) {
+	if !answer.NotExecuted() || !c.atMostOnce[id] {
 		return
 	}
 	c.notRun[id] = fmt.Sprint(answer.Status)
@@ -189,7 +189,7 @@
 }
 
 // Streamed takes a stream that came to its proper end.
-func (c *Checker) Streamed(id string, answer platformtest.Answer) {
+func (c *Checker) Streamed(id string, answer platformtest.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["streams"]++
@@ -238,7 +238,7 @@
 }
 
 // Read takes results that were read from a position on.
-func (c *Checker) Read(job string, from int, reading platformtest.Reading) {
+func (c *Checker) Read(job string, from int, reading platformtest.ResultsPage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.jobs[job]
--- a/internal/soak/cold.go
+++ b/internal/soak/cold.go
@@ -27,7 +27,7 @@
 
 // coldServices has cold replicas of all services bear little.
 func coldServices(content []byte) []byte {
-	return platformtest.WithCold(content, coldPerSecond, coldLasts)
+	return platformtest.WithColdStart(content, coldPerSecond, coldLasts)
 }
 
 // coldFor returns how long a replica is cold that starts now: the first ones start before there is
@@ -56,7 +56,7 @@
 		s.mu.Unlock()
 		for _, r := range turning {
 			s.check.Count("replicas turned cold")
-			r.TurnCold(coldLasts)
+			r.MakeCold(coldLasts)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 func (r *coldReplica) arrived(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if of := r.of.Load(); of == nil || !of.Cold() || !r.link.Steady(linkSettles) {
+	if of := r.of.Load(); of == nil || !of.IsCold() || !r.link.Steady(linkSettles) {
 		r.arrivals = nil
 		return 0
 	}
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -295,20 +295,20 @@
 		s.store.Records.Forget()
 		return
 	case StoreSlow:
-		s.store.SlowBy.Store(int64(200 * time.Millisecond))
+		s.store.AddedLatency.Store(int64(200 * time.Millisecond))
 		time.Sleep(fault.For)
-		s.store.SlowBy.Store(0)
+		s.store.AddedLatency.Store(0)
 		return
 	case StoreSilent, StoreRefusing, StoreLosing, StoreLate:
 	}
-	flag := &s.store.Late
+	flag := &s.store.DelayCommits
 	switch fault.Kind {
 	case StoreSilent:
-		flag = &s.store.Silent
+		flag = &s.store.Unresponsive
 	case StoreRefusing:
-		flag = &s.store.Refusing
+		flag = &s.store.Unavailable
 	case StoreLosing:
-		flag = &s.store.Losing
+		flag = &s.store.DropResponses
 	case StoreLate, StoreForget, StoreHush, StoreSlow:
 	}
 	flag.Store(true)
@@ -332,7 +332,7 @@
 	}
 	switch fault.Kind {
 	case ReplicaBreaks:
-		r.Broken.Store(true)
+		r.BreakStreams.Store(true)
 	case ReplicaFails:
 		// An item that fails at every attempt is given up, so plain replicas alone fail.
 		if r.Model == "" {
@@ -341,11 +341,11 @@
 	case ReplicaFull:
 		r.Full.Store(true)
 	case ReplicaLoses:
-		r.Losing.Store(true)
+		r.DropResponses.Store(true)
 	case ReplicaDoubles:
-		r.Doubling.Store(true)
+		r.DuplicateResponses.Store(true)
 	case ReplicaSlow:
-		r.SlowBy.Store(int64(slowReplicaBy))
+		r.AddedLatency.Store(int64(slowReplicaBy))
 	case ReplicaDrains:
 		s.replace(r, true)
 		return
@@ -362,8 +362,8 @@
 
 // healReplica ends every fault of a replica.
 func healReplica(r *replica) {
-	for _, flag := range []*atomic.Bool{&r.Broken, &r.Failing, &r.Full, &r.Losing, &r.Doubling} {
+	for _, flag := range []*atomic.Bool{&r.BreakStreams, &r.Failing, &r.Full, &r.DropResponses, &r.DuplicateResponses} {
 		flag.Store(false)
 	}
-	r.SlowBy.Store(0)
+	r.AddedLatency.Store(0)
 }
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -87,11 +87,11 @@
 	}
 }
 
-func (s *Soak) send(ctx context.Context, n *node, method, path, id string, body []byte) platformtest.Answer {
+func (s *Soak) send(ctx context.Context, n *node, method, path, id string, body []byte) platformtest.Response {
 	return s.sendBy(ctx, platformtest.Client{}, n, method, path, id, body)
 }
 
-func (s *Soak) sendBy(ctx context.Context, client platformtest.Client, n *node, method, path, id string, body []byte) platformtest.Answer {
+func (s *Soak) sendBy(ctx context.Context, client platformtest.Client, n *node, method, path, id string, body []byte) platformtest.Response {
 	return client.Send(ctx, platformtest.Call{Address: n.address, Method: method, Path: path, ID: id, Key: lastingKey, Body: body, Deadline: callDeadline})
 }
 
@@ -157,7 +157,7 @@
 			s.check.Accepted(job, time.Now())
 			return true
 		}
-		refusals = refusals && answer.NotRun()
+		refusals = refusals && answer.NotExecuted()
 		last = answer.Status
 	}
 	if refusals && last != 0 && ctx.Err() == nil {
@@ -254,7 +254,7 @@
 func (s *Soak) generation(ctx context.Context, n *node, version int64, attempt int) int {
 	id := fmt.Sprintf("probe-%s-%d-%d-%d", n.name, n.lives.Load(), version, attempt)
 	answer := platformtest.Client{}.Send(ctx, platformtest.Call{
-		Address: n.address, Method: http.MethodPost, Path: platformtest.GenerationPath(int(version)), ID: id, Key: generationKey(version), Deadline: callDeadline,
+		Address: n.address, Method: http.MethodPost, Path: platformtest.ProbePath(int(version)), ID: id, Key: generationKey(version), Deadline: callDeadline,
 	})
 	if answer.Err != nil {
 		return 0
@@ -271,7 +271,7 @@
 			s.configure()
 			s.configuredAt.Store(int64(time.Since(s.started)))
 		}
-		s.store.NameVersion(int(s.version.Add(1)))
+		s.store.SetTargetVersion(int(s.version.Add(1)))
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -200,7 +200,7 @@
 // configure writes the next configuration; its version names a route of its own.
 func (s *Soak) configure() int64 {
 	version := s.config.Load() + 1
-	s.store.Put("op", "config", platformtest.WithTenants(withHomes(coldServices(platformtest.Generation(int(version)))), platformtest.Tenant{
+	s.store.Put("op", "config", platformtest.WithTenants(withHomes(coldServices(platformtest.ProbeConfiguration(int(version)))), platformtest.Tenant{
 		Name: tenant, Keys: []string{lastingKey, generationKey(version)},
 	}))
 	s.config.Store(version)
@@ -216,8 +216,8 @@
 	link := &Proxy{Uses: s.toReplica(zone)}
 	cold := &coldReplica{id: id, link: link}
 	cfg := platformtest.ReplicaConfig{
-		ID: id, Service: service, Model: model, Zone: zone, Version: s.version.Load(), Versioned: true, Pace: 15 * time.Millisecond,
-		Via: func(address string) string {
+		ID: id, Service: service, Model: model, Zone: zone, Version: s.version.Load(), VersionInEvents: true, EventInterval: 15 * time.Millisecond,
+		MapAddress: func(address string) string {
 			if link.Target != "" {
 				return link.listener.Addr().String()
 			}
@@ -236,9 +236,9 @@
 			}
 			s.check.Ran(id, request)
 		},
-		OnWhole:  s.check.MadeWhole,
-		OnFailed: s.check.Failed,
-		OnOrder:  s.check.Ordered,
+		OnTextComplete: s.check.MadeWhole,
+		OnFailed:       s.check.Failed,
+		OnOrder:        s.check.Ordered,
 	}
 	one, err := platformtest.StartReplicaConfig(s.store, cfg)
 	if err != nil {
@@ -314,7 +314,7 @@
 func (s *Soak) waitReady(n *node) bool {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		answer := platformtest.Client{}.Send(context.Background(), platformtest.Call{
-			Address: n.address, Method: http.MethodPost, Path: platformtest.GenerationPath(int(s.config.Load())),
+			Address: n.address, Method: http.MethodPost, Path: platformtest.ProbePath(int(s.config.Load())),
 			ID: fmt.Sprintf("ready-%s-%d", n.name, time.Now().UnixNano()), Key: lastingKey, Deadline: time.Second,
 		})
 		if answer.Err == nil && answer.Status == http.StatusOK {
@@ -337,11 +337,11 @@
 
 // heal ends every fault that is left.
 func (s *Soak) heal() {
-	s.store.Silent.Store(false)
-	s.store.Refusing.Store(false)
-	s.store.Losing.Store(false)
-	s.store.Late.Store(false)
-	s.store.SlowBy.Store(0)
+	s.store.Unresponsive.Store(false)
+	s.store.Unavailable.Store(false)
+	s.store.DropResponses.Store(false)
+	s.store.DelayCommits.Store(false)
+	s.store.AddedLatency.Store(0)
 	for _, n := range s.nodes {
 		for _, link := range []*Proxy{n.toStore, n.toClients} {
 			link.SetMode(LinkOpen)
