--- a/internal/process/endpoint/cold.go
+++ b/internal/process/endpoint/cold.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// presumeMargin is by how much a replica that may have turned cold unheard is presumed cold for longer
-// than it lasts: one heartbeat, and the time until it is known.
-const presumeMargin = 2 * time.Second
+// coldMargin extends the assumed cold period of a replica that may have gone cold without reporting it.
+// It covers one heartbeat interval and the propagation of the record.
+const coldMargin = 2 * time.Second
 
-// LearnCold takes from the replica's record how long it is cold. A record that is merely read again
-// is no news; a newer one counts whatever it says.
+// LearnCold updates the cold state from the replica's record. A revision that was already applied is
+// ignored.
 func (e *Endpoint) LearnCold(now time.Time) {
-	if e.Revision <= e.coldRevision {
+	if e.Revision <= e.coldRecordRevision {
 		return
 	}
-	e.coldRevision = e.Revision
+	e.coldRecordRevision = e.Revision
 	e.ColdUntil = time.Time{}
 	if e.ColdFor > 0 {
-		// It was written before it came, so this is not too early.
+		// The record was written before it was read, so this never ends too early.
 		e.ColdUntil = now.Add(e.ColdFor)
-		e.coldHeardAt = now
+		e.coldReportedAt = now
 	}
 }
 
-// Cold reports whether the endpoint is cold, or may be, where replicas are cold for so long.
+// Cold reports whether the endpoint is or may be cold, given how long replicas of its service stay
+// cold.
 func (e *Endpoint) Cold(now time.Time, lasts time.Duration) bool {
 	return now.Before(e.WarmAt(lasts))
 }
 
-// WarmAt returns when the endpoint is not cold any more, a time gone by if it is warm. One whose zone
-// was evacuated is presumed to be cold afterwards, unless a record tells how long.
+// WarmAt returns when the endpoint becomes warm; for a warm endpoint the time is in the past. After its
+// zone's evacuation an endpoint is assumed to be cold until a newer record says otherwise.
 func (e *Endpoint) WarmAt(lasts time.Duration) time.Time {
-	if e.EvacuatedUntil.IsZero() || e.coldHeardAt.After(e.EvacuatedUntil) {
+	if e.EvacuatedUntil.IsZero() || e.coldReportedAt.After(e.EvacuatedUntil) {
 		return e.ColdUntil
 	}
-	if presumed := e.EvacuatedUntil.Add(lasts + presumeMargin); presumed.After(e.ColdUntil) {
+	if presumed := e.EvacuatedUntil.Add(lasts + coldMargin); presumed.After(e.ColdUntil) {
 		return presumed
 	}
 	return e.ColdUntil
 }
 
-// Warmth drops cold endpoints, or with OnlyCold the warm ones. Where replicas bear all at once after a
-// start, none is cold.
+// Warmth is a filter that keeps warm endpoints, or only cold ones if OnlyCold is set. Without a cold
+// period every endpoint is warm.
 func Warmth(q *Query, e *Endpoint) bool {
 	if q.ColdLasts == 0 {
 		return !q.OnlyCold
--- a/internal/process/endpoint/cold_test.go
+++ b/internal/process/endpoint/cold_test.go
@@ -10,40 +10,40 @@
 func TestLearnCold(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
-	type news struct {
+	type update struct {
 		at       float64
 		revision int64
 		coldFor  time.Duration
 	}
 	const lasts = 3 * time.Second
 	for _, c := range []struct {
-		name string
-		news []news
-		// lifted is when the zone's evacuation was lifted, 0 for never.
+		name    string
+		updates []update
+		// lifted is when the zone's evacuation ended, 0 for no evacuation.
 		lifted float64
 		warmAt float64
 	}{
-		{"told once", []news{{0, 1, 3 * time.Second}}, 0, 3},
-		{"read again", []news{{0, 1, 3 * time.Second}, {2, 1, 3 * time.Second}}, 0, 3},
-		{"told again", []news{{0, 1, 3 * time.Second}, {1, 2, 2500 * time.Millisecond}}, 0, 3.5},
-		{"told less", []news{{0, 1, 3 * time.Second}, {1, 2, 500 * time.Millisecond}}, 0, 1.5},
-		{"told to be warm", []news{{0, 1, 3 * time.Second}, {1, 2, 0}}, 0, 1},
-		{"an older record", []news{{0, 2, 3 * time.Second}, {1, 1, 0}}, 0, 3},
-		{"cold again", []news{{0, 1, time.Second}, {5, 2, 3 * time.Second}}, 0, 8},
-		{"presumed after an evacuation", []news{{0, 1, 0}}, 4, 9},
-		{"told after the evacuation", []news{{0, 1, 0}, {5, 2, time.Second}}, 4, 6},
-		{"told before the evacuation was lifted", []news{{0, 1, 10 * time.Second}}, 4, 10},
+		{"reported once", []update{{0, 1, 3 * time.Second}}, 0, 3},
+		{"same revision again", []update{{0, 1, 3 * time.Second}, {2, 1, 3 * time.Second}}, 0, 3},
+		{"reported again", []update{{0, 1, 3 * time.Second}, {1, 2, 2500 * time.Millisecond}}, 0, 3.5},
+		{"shortened", []update{{0, 1, 3 * time.Second}, {1, 2, 500 * time.Millisecond}}, 0, 1.5},
+		{"reported warm", []update{{0, 1, 3 * time.Second}, {1, 2, 0}}, 0, 1},
+		{"older revision", []update{{0, 2, 3 * time.Second}, {1, 1, 0}}, 0, 3},
+		{"cold again after being warm", []update{{0, 1, time.Second}, {5, 2, 3 * time.Second}}, 0, 8},
+		{"assumed after an evacuation", []update{{0, 1, 0}}, 4, 9},
+		{"reported after the evacuation", []update{{0, 1, 0}, {5, 2, time.Second}}, 4, 6},
+		{"reported before the end of the evacuation", []update{{0, 1, 10 * time.Second}}, 4, 10},
 	} {
 		e := &Endpoint{ReplicaRecord: port.ReplicaRecord{ID: "r"}}
 		if c.lifted > 0 {
 			e.EvacuatedUntil = at(c.lifted)
 		}
-		for _, one := range c.news {
+		for _, one := range c.updates {
 			e.Revision, e.ColdFor = one.revision, one.coldFor
 			e.LearnCold(at(one.at))
 		}
-		if e.Cold(at(c.warmAt), lasts) || c.name != "told to be warm" && !e.Cold(at(c.warmAt).Add(-time.Millisecond), lasts) {
-			t.Errorf("%s: warm at %s, should be after %g s", c.name, e.WarmAt(lasts).Sub(start), c.warmAt)
+		if e.Cold(at(c.warmAt), lasts) || c.name != "reported warm" && !e.Cold(at(c.warmAt).Add(-time.Millisecond), lasts) {
+			t.Errorf("%s: warm after %s, want %g s", c.name, e.WarmAt(lasts).Sub(start), c.warmAt)
 		}
 	}
 }
@@ -57,10 +57,10 @@
 		query      Query
 		warm, cold bool
 	}{
-		{"warm ones", Query{Now: now, ColdLasts: time.Second}, true, false},
-		{"cold ones", Query{Now: now, ColdLasts: time.Second, OnlyCold: true}, false, true},
-		{"no cold bound", Query{Now: now}, true, true},
-		{"cold ones where there are none", Query{Now: now, OnlyCold: true}, false, false},
+		{"warm endpoints", Query{Now: now, ColdLasts: time.Second}, true, false},
+		{"cold endpoints", Query{Now: now, ColdLasts: time.Second, OnlyCold: true}, false, true},
+		{"no cold period", Query{Now: now}, true, true},
+		{"cold endpoints without a cold period", Query{Now: now, OnlyCold: true}, false, false},
 	} {
 		if Warmth(&c.query, warm) != c.warm || Warmth(&c.query, cold) != c.cold {
 			t.Errorf("%s: %t %t", c.name, Warmth(&c.query, warm), Warmth(&c.query, cold))
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint keeps what a node knows of the replicas it may send to: what the
-// platform's list says, what their answers told, and how this node's own attempts
-// fared. A choice is a pipeline of filters, scorers and a picker over that.
+// Package endpoint tracks the replicas that a node can send requests to and selects among them. The
+// state of an endpoint combines its service discovery record, the load it reports and the results of
+// this node's own attempts. Selection is a pipeline of filters, scorers and a picker.
 package endpoint
 
 import (
@@ -11,85 +11,89 @@
 )
 
 const (
-	// loadLife is how long a told load counts.
-	loadLife = 2 * time.Second
-	// ejectAfter failures in a row take an endpoint out, for ejectFirst at first and
-	// twice as long each time, up to ejectLongest.
-	ejectAfter   = 2
-	ejectFirst   = 500 * time.Millisecond
-	ejectLongest = 4 * time.Second
-	// latencyWeight is the part of the newest latency in the running mean.
+	// loadTTL is how long a reported load is used.
+	loadTTL = 2 * time.Second
+	// ejectAfter is the number of consecutive failures that eject an endpoint. The ejection lasts
+	// minEjection at first and doubles each time up to maxEjection.
+	ejectAfter  = 2
+	minEjection = 500 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// latencyWeight is the weight of a new sample in the moving average of latencies.
 	latencyWeight = 0.2
-	// paceWeight is the part of the newest pace, paceLife how long a pace counts.
+	// paceWeight is the weight of a new sample in the moving average of paces. A pace expires after
+	// paceTTL.
 	paceWeight = 0.3
-	paceLife   = 15 * time.Second
-	// hearsayAfter is how old an own pace is before another node's is taken.
-	hearsayAfter = time.Second
-	// busyFor is how long an endpoint that was heard of is not held for silent.
-	busyFor = time.Second
+	paceTTL    = 15 * time.Second
+	// localPaceTTL is the age from which a pace reported by another node replaces the locally measured
+	// one.
+	localPaceTTL = time.Second
+	// livenessWindow is how long after its last response an endpoint that times out is considered
+	// overloaded rather than failed.
+	livenessWindow = time.Second
 )
 
-// Endpoint is one incarnation of a replica. What is known of it ends with it: a replica that starts again
-// is another endpoint, also under the same ID.
+// Endpoint is one incarnation of a replica. A replica that restarts becomes a new endpoint, even if it
+// keeps its ID.
 type Endpoint struct {
 	port.ReplicaRecord
-	// InFlight counts this node's attempts that have not ended.
+	// InFlight is the number of this node's unfinished attempts.
 	InFlight int
-	// Tokens is the memory that this node's runs are expected to take here.
+	// Tokens is the memory, in tokens, that this node's runs are expected to use on the endpoint.
 	Tokens int
 	// UsedAt is when the last attempt was sent.
 	UsedAt time.Time
-	// Region is that of the endpoint's zone, empty if it is not known.
+	// Region is the region of the endpoint's zone, empty if unknown.
 	Region string
 	// Held is set while an operator drains the endpoint or its zone.
 	Held bool
-	// Evacuated is set while the endpoint's zone is evacuated. EvacuatedUntil is when this node saw
-	// the evacuation lifted, zero otherwise: the replica may have turned cold meanwhile.
+	// Evacuated is set while the endpoint's zone is evacuated. EvacuatedUntil is when this node
+	// observed the end of the evacuation, otherwise zero; the replica may have gone cold in the
+	// meantime.
 	Evacuated      bool
 	EvacuatedUntil time.Time
-	// ColdUntil is when the endpoint is warm by its records, never too early.
+	// ColdUntil is when the endpoint becomes warm according to its records. It is never too early.
 	ColdUntil time.Time
-	// SendBy is until when the request must be sent that the endpoint was chosen for last, zero for
-	// any time.
+	// SendBy is the deadline for sending the request that the endpoint was last chosen for, zero for
+	// none.
 	SendBy time.Time
 
-	told         int
-	toldAt       time.Time
-	failures     int
-	ejections    int
-	ejectedUntil time.Time
-	latency      time.Duration
-	loading      map[string]time.Time
-	pace         time.Duration
-	pacedAt      time.Time
-	heardAt      time.Time
-	coldRevision int64
-	coldHeardAt  time.Time
-
-	// pool holds the endpoint while it is listed, position is its place on the pool's rings; paced is set
-	// while it stands among the pool's endpoints of known pace.
-	pool     *Pool
-	position uint64
-	paced    bool
+	reportedLoad       int
+	loadReportedAt     time.Time
+	failures           int
+	ejections          int
+	ejectedUntil       time.Time
+	latency            time.Duration
+	loading            map[string]time.Time
+	pace               time.Duration
+	paceUpdatedAt      time.Time
+	lastHeardAt        time.Time
+	coldRecordRevision int64
+	coldReportedAt     time.Time
+
+	// pool is the pool that the endpoint is listed in and position its position on the pool's rings.
+	// paceTracked is set while the endpoint is in the pool's withPace list.
+	pool        *Pool
+	position    uint64
+	paceTracked bool
 }
 
-// Load returns the requests that are known to be at the endpoint: this node's own,
-// or what its last answer told, whichever is more.
+// Load returns the number of requests on the endpoint: the larger of this node's own and the endpoint's
+// last report.
 func (e *Endpoint) Load(now time.Time) int {
-	if now.Sub(e.toldAt) < loadLife {
-		return max(e.InFlight, e.told)
+	if now.Sub(e.loadReportedAt) < loadTTL {
+		return max(e.InFlight, e.reportedLoad)
 	}
 	return e.InFlight
 }
 
-// Ejected reports whether failures keep the endpoint out for now.
+// Ejected reports whether the endpoint is ejected after repeated failures.
 func (e *Endpoint) Ejected(now time.Time) bool { return now.Before(e.ejectedUntil) }
 
-// Loading reports whether the endpoint is thought to load a version of a model; it
-// goes on serving its other models.
+// Loading reports whether the endpoint is assumed to be loading a version of the model. It continues to
+// serve other models.
 func (e *Endpoint) Loading(now time.Time, model string) bool { return now.Before(e.loading[model]) }
 
-// SetLoading notes that the endpoint takes no new requests for a model until then.
+// SetLoading excludes the endpoint from new items of a model until the given time.
 func (e *Endpoint) SetLoading(model string, until time.Time) {
 	if e.loading == nil {
 		e.loading = map[string]time.Time{}
@@ -97,7 +101,7 @@
 	e.loading[model] = until
 }
 
-// LearnVersion takes a version that the endpoint named; versions only rise.
+// LearnVersion records a model version reported by the endpoint. Lower versions are ignored.
 func (e *Endpoint) LearnVersion(model string, version int64) {
 	if version <= e.Versions[model] || model == "" {
 		return
@@ -106,20 +110,20 @@
 		e.Versions = map[string]int64{}
 	}
 	if e.pool != nil {
-		e.pool.raise(e, model, version)
+		e.pool.updateVersion(e, model, version)
 	}
 	e.Versions[model] = version
 }
 
-// LearnLoad takes the load that an answer told.
+// LearnLoad records the load reported in a response.
 func (e *Endpoint) LearnLoad(now time.Time, running, waiting int) {
-	e.told = running + waiting
-	e.toldAt = now
-	e.heardAt = now
+	e.reportedLoad = running + waiting
+	e.loadReportedAt = now
+	e.lastHeardAt = now
 }
 
-// Attempted notes how an attempt of a request ended, and how long it took. It reports whether
-// the endpoint was ejected.
+// Attempted records the outcome and duration of an attempt. It reports whether the endpoint was
+// ejected.
 func (e *Endpoint) Attempted(now time.Time, outcome relay.Outcome, took time.Duration) (ejected bool) {
 	switch outcome {
 	case relay.Answered:
@@ -132,7 +136,7 @@
 	return false
 }
 
-// Succeeded notes an attempt that was answered, and how long that took.
+// Succeeded records an answered attempt and its latency.
 func (e *Endpoint) Succeeded(latency time.Duration) {
 	e.failures = 0
 	e.ejections = 0
@@ -144,84 +148,84 @@
 	e.latency += time.Duration(latencyWeight * float64(latency-e.latency))
 }
 
-// LearnPace takes the mean time between two events of a run.
+// LearnPace records the mean time between two events of a run.
 func (e *Endpoint) LearnPace(now time.Time, pace time.Duration) {
 	if pace <= 0 {
 		return
 	}
-	e.heardAt = now
-	if e.pace == 0 || now.Sub(e.pacedAt) > paceLife {
+	e.lastHeardAt = now
+	if e.pace == 0 || now.Sub(e.paceUpdatedAt) > paceTTL {
 		e.pace = pace
 	} else {
 		e.pace += time.Duration(paceWeight * float64(pace-e.pace))
 	}
-	e.notePace(now)
+	e.paceUpdated(now)
 }
 
-func (e *Endpoint) notePace(now time.Time) {
-	e.pacedAt = now
+func (e *Endpoint) paceUpdated(now time.Time) {
+	e.paceUpdatedAt = now
 	if e.pool != nil {
-		e.pool.notePaced(e)
+		e.pool.trackPace(e)
 	}
 }
 
-// HearPace takes a pace that another node found, unless this node knows better.
+// HearPace records a pace measured by another node, unless this node has a recent one of its own.
 func (e *Endpoint) HearPace(now time.Time, pace time.Duration) {
-	if now.Sub(e.pacedAt) >= hearsayAfter && pace > 0 {
+	if now.Sub(e.paceUpdatedAt) >= localPaceTTL && pace > 0 {
 		e.pace = pace
-		e.notePace(now)
+		e.paceUpdated(now)
 	}
 }
 
-// Pace returns the usual time between two events, 0 when it is not known.
+// Pace returns the average time between two events, 0 if unknown.
 func (e *Endpoint) Pace(now time.Time) time.Duration {
-	if now.Sub(e.pacedAt) > paceLife {
+	if now.Sub(e.paceUpdatedAt) > paceTTL {
 		return 0
 	}
 	return e.pace
 }
 
-// Silent notes an attempt that got no answer in its time. An endpoint that answers
-// others meanwhile is merely busy; it reports whether the endpoint was ejected.
+// Silent records an attempt that timed out. An endpoint that recently responded to other requests is
+// considered overloaded. Silent reports whether the endpoint was ejected.
 func (e *Endpoint) Silent(now time.Time) bool {
-	if now.Sub(e.heardAt) < busyFor {
+	if now.Sub(e.lastHeardAt) < livenessWindow {
 		return false
 	}
 	return e.Failed(now)
 }
 
-// Failed notes an attempt that broke; it reports whether the endpoint was ejected.
+// Failed records a failed attempt and reports whether the endpoint was ejected.
 func (e *Endpoint) Failed(now time.Time) bool {
 	e.failures++
 	if e.failures < ejectAfter || e.Ejected(now) {
 		return false
 	}
-	pause := min(ejectFirst<<e.ejections, ejectLongest)
-	if pause < ejectLongest {
+	pause := min(minEjection<<e.ejections, maxEjection)
+	if pause < maxEjection {
 		e.ejections++
 	}
 	e.ejectedUntil = now.Add(pause)
 	return true
 }
 
-// refusedFor is how long an endpoint that turned an item away gets no other of its model:
-// it is full, or loads a version, which takes about a second.
-const refusedFor = 350 * time.Millisecond
+// refusalBackoff is how long an endpoint that refused an item gets no other items of that model. It is
+// either full or loading a version, which takes about a second.
+const refusalBackoff = 350 * time.Millisecond
 
-// Refused notes that the endpoint turned an item of a model away. Only the node that
-// orders versions knows which endpoints load.
+// Refused records that the endpoint refused an item of a model. Only the node that orders versions
+// knows which endpoints are loading, so other nodes infer it from refusals.
 func (e *Endpoint) Refused(now time.Time, model string) {
 	e.Busy(now)
-	if until := now.Add(refusedFor); until.After(e.loading[model]) {
+	if until := now.Add(refusalBackoff); until.After(e.loading[model]) {
 		e.SetLoading(model, until)
 	}
 }
 
-// Busy notes that the endpoint turned a request away for load.
+// Busy records that the endpoint refused a request because of its load.
 func (e *Endpoint) Busy(now time.Time) {
-	e.told = max(e.told, e.Slots)
-	e.toldAt = now
+	e.reportedLoad = max(e.reportedLoad, e.Slots)
+	e.loadReportedAt = now
 }
 
-// Leaving reports whether the endpoint gets no new work, for whatever reason.
+// Leaving reports whether the endpoint gets no new work for any reason.
 func (e *Endpoint) Leaving() bool { return e.Withheld() != NotWithheld }
--- a/internal/process/endpoint/play_test.go
+++ b/internal/process/endpoint/play_test.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	playedService = 25 * time.Millisecond
-	playedFor     = 20 * time.Second
-	// playedPerSecond is what one replica of six slots serves at most: 240 requests a second.
-	playedSlots     = 6
-	playedPerSecond = float64(playedSlots) * float64(time.Second) / float64(playedService)
+	simulatedServiceTime = 25 * time.Millisecond
+	simulatedDuration    = 20 * time.Second
+	// simulatedRate is the capacity of one replica in requests per second.
+	simulatedSlots = 6
+	simulatedRate  = float64(simulatedSlots) * float64(time.Second) / float64(simulatedServiceTime)
 )
 
-// playedReplica serves requests in the order of their arrival.
-type playedReplica struct {
+// simulatedReplica serves requests in order of arrival.
+type simulatedReplica struct {
 	*Endpoint
-	// free is when each slot is free again.
-	free [playedSlots]time.Time
+	// free is when each slot becomes free.
+	free [simulatedSlots]time.Time
 }
 
-// serve takes a request that is sent now and returns when its answer is back. Others hold so many slots
-// all the while: each that they have is free again within the time of a request.
-func (r *playedReplica) serve(at time.Time, others int, random *rand.Rand) time.Time {
-	half := away(r.Zone) / 2
+// serve simulates a request sent at a given time and returns when its answer arrives. Other clients
+// continuously occupy the given number of slots.
+func (r *simulatedReplica) serve(at time.Time, others int, random *rand.Rand) time.Time {
+	half := testExtraLatency(r.Zone) / 2
 	for i := range others {
 		if r.free[i].Before(at.Add(half)) {
-			r.free[i] = at.Add(half).Add(time.Duration(random.Int64N(int64(playedService))))
+			r.free[i] = at.Add(half).Add(time.Duration(random.Int64N(int64(simulatedServiceTime))))
 		}
 	}
 	slot := 0
@@ -43,26 +43,26 @@
 	if r.free[slot].After(begins) {
 		begins = r.free[slot]
 	}
-	r.free[slot] = begins.Add(playedService)
+	r.free[slot] = begins.Add(simulatedServiceTime)
 	return r.free[slot].Add(half)
 }
 
-// playedLoad is what callers in the north ask, in parts of what its three replicas bear, and what
-// others have at the replicas of the south all the while, in slots each.
-type playedLoad struct {
+// simulatedLoad is the load of the callers in the north as a fraction of the capacity of its three
+// replicas, and the number of slots that other clients occupy on each replica in the south.
+type simulatedLoad struct {
 	north  float64
 	others int
 }
 
-// play has one node in the north send requests that arrive at random, and returns the mean time and the
-// longest but for one in a hundred that callers wait.
-func play(load playedLoad, choose func(list []*Endpoint, q *Query) *Endpoint) (mean, slowest time.Duration) {
+// simulate sends requests with random arrival times from one node in the north and returns their mean
+// and 99th-percentile latency.
+func simulate(load simulatedLoad, choose func(list []*Endpoint, q *Query) *Endpoint) (mean, slowest time.Duration) {
 	random := rand.New(rand.NewPCG(1, 1))
-	replicas := map[string]*playedReplica{}
-	list := fleet(0, 0)
+	replicas := map[string]*simulatedReplica{}
+	list := twoRegions(0, 0)
 	others := map[string]int{"south": load.others}
 	for _, e := range list {
-		replicas[e.ID] = &playedReplica{Endpoint: e}
+		replicas[e.ID] = &simulatedReplica{Endpoint: e}
 	}
 	type answer struct {
 		at   time.Time
@@ -71,9 +71,9 @@
 	}
 	var open []answer
 	var took []time.Duration
-	rate := load.north * 3 * playedPerSecond
+	rate := load.north * 3 * simulatedRate
 	at := now
-	for number := uint64(0); at.Sub(now) < playedFor; number++ {
+	for number := uint64(0); at.Sub(now) < simulatedDuration; number++ {
 		at = at.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		open = slices.DeleteFunc(open, func(one answer) bool {
 			if one.at.After(at) {
@@ -83,7 +83,7 @@
 			one.from.Succeeded(one.took)
 			return true
 		})
-		query := inNorth()
+		query := northQuery()
 		query.Now, query.Rotation = at, number
 		for _, e := range list {
 			e.LearnLoad(at, others[e.Region]+e.InFlight, 0)
@@ -102,9 +102,8 @@
 	return sum / time.Duration(len(took)), took[len(took)*99/100]
 }
 
-// byRegionWeight is the plain preference that the choice by time is compared with: the scorers with a
-// weight for the own region.
-func byRegionWeight(weight float64) func(list []*Endpoint, q *Query) *Endpoint {
+// pickByRegionWeight selects with a weighted preference for the node's own region, as a baseline.
+func pickByRegionWeight(weight float64) func(list []*Endpoint, q *Query) *Endpoint {
 	own := func(q *Query, e *Endpoint) float64 {
 		if e.Region == q.Region {
 			return 1
@@ -115,31 +114,31 @@
 	return func(list []*Endpoint, q *Query) *Endpoint { return profile.Pick(q, list) }
 }
 
-// TestPlayedLoadsOverTwoRegions plays loads and compares what callers get: with the choice by time, with
-// the choice that knows no regions, as before, and with two weights for the own region.
+// TestPlayedLoadsOverTwoRegions compares the mean latency of selection by delay with selection that
+// ignores regions and with two region weights.
 func TestPlayedLoadsOverTwoRegions(t *testing.T) {
-	ways := map[string]func(list []*Endpoint, q *Query) *Endpoint{
-		"by time": func(list []*Endpoint, q *Query) *Endpoint { return Requests.Pick(q, list) },
-		"before": func(list []*Endpoint, q *Query) *Endpoint {
+	strategies := map[string]func(list []*Endpoint, q *Query) *Endpoint{
+		"by delay": func(list []*Endpoint, q *Query) *Endpoint { return Requests.Pick(q, list) },
+		"ignoring regions": func(list []*Endpoint, q *Query) *Endpoint {
 			q.Away = nil
 			return Requests.Pick(q, list)
 		},
-		"weight 1": byRegionWeight(1), "weight 10": byRegionWeight(10),
+		"weight 1": pickByRegionWeight(1), "weight 10": pickByRegionWeight(10),
 	}
-	for _, load := range []playedLoad{{0.3, 0}, {0.8, 0}, {1.2, 0}, {1.6, 0}, {0.8, 6}, {1.2, 4}} {
+	for _, load := range []simulatedLoad{{0.3, 0}, {0.8, 0}, {1.2, 0}, {1.6, 0}, {0.8, 6}, {1.2, 4}} {
 		means := map[string]time.Duration{}
-		for name, way := range ways {
-			mean, slowest := play(load, way)
+		for name, choose := range strategies {
+			mean, slowest := simulate(load, choose)
 			means[name] = mean
-			t.Logf("north at %.1f, %d slots of the south taken, %s: mean %.1f ms, 99 of 100 below %.1f ms", load.north, load.others, name,
+			t.Logf("north load %.1f, %d slots taken in the south, %s: mean %.1f ms, p99 %.1f ms", load.north, load.others, name,
 				float64(mean.Microseconds())/1000, float64(slowest.Microseconds())/1000)
 		}
 		best := time.Duration(math.MaxInt64)
 		for _, mean := range means {
 			best = min(best, mean)
 		}
-		if float64(means["by time"]) > 1.05*float64(best) {
-			t.Errorf("%+v: by time %s, the best way %s", load, means["by time"], best)
+		if float64(means["by delay"]) > 1.05*float64(best) {
+			t.Errorf("%+v: mean %s by delay, %s with the best strategy", load, means["by delay"], best)
 		}
 	}
 }
--- a/internal/process/endpoint/pool.go
+++ b/internal/process/endpoint/pool.go
@@ -8,32 +8,32 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Pool holds the endpoints of one service, indexed so that neither a choice nor a change looks at all of
-// them.
+// Pool holds the endpoints of one service. Its indexes avoid scanning all endpoints for a choice or an
+// update.
 type Pool struct {
 	all ring
-	// byID holds them in the order of their IDs, unless unsorted is set.
+	// byID is sorted by ID unless unsorted is set.
 	byID     []*Endpoint
 	unsorted bool
-	// models holds for each model the endpoints by the version that they have.
+	// models indexes the endpoints by model and version.
 	models map[string]*versionRings
-	// paced are the endpoints whose pace was learned of late.
-	paced []*Endpoint
+	// withPace holds the endpoints whose pace was updated recently.
+	withPace []*Endpoint
 }
 
-// versionRings are the endpoints that hold a model, by version.
+// versionRings indexes the endpoints that hold a model by version.
 type versionRings struct {
-	// versions are those that an endpoint has, the newest first.
+	// versions are the versions in use, in descending order.
 	versions []int64
 	rings    map[int64]*ring
 }
 
 func newPool() *Pool { return &Pool{models: map[string]*versionRings{}} }
 
-// Len returns how many endpoints there are.
+// Len returns the number of endpoints.
 func (p *Pool) Len() int { return len(p.all.list) }
 
-// All returns the endpoints in the order of their IDs.
+// All returns the endpoints sorted by ID.
 func (p *Pool) All() []*Endpoint {
 	if p.unsorted {
 		slices.SortFunc(p.byID, compareByID)
@@ -42,11 +42,11 @@
 	return p.byID
 }
 
-// First returns the endpoint that gets work and stands first behind a name's place on the ring, nil if
+// First returns the first endpoint accepting new work at or after the ring position of a name, nil if
 // there is none.
 func (p *Pool) First(name string) *Endpoint {
 	var first *Endpoint
-	p.all.walk(positionOf(name), func(e *Endpoint) bool {
+	p.all.walk(ringPosition(name), func(e *Endpoint) bool {
 		if !e.Leaving() {
 			first = e
 		}
@@ -58,7 +58,7 @@
 func compareByID(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) }
 
 func (p *Pool) add(e *Endpoint) {
-	e.pool, e.position, e.paced = p, positionOf(e.ID), false
+	e.pool, e.position, e.paceTracked = p, ringPosition(e.ID), false
 	p.all.add(e)
 	p.unsorted = p.unsorted || len(p.byID) > 0 && compareByID(p.byID[len(p.byID)-1], e) > 0
 	p.byID = append(p.byID, e)
@@ -76,8 +76,8 @@
 	for model, version := range e.Versions {
 		p.rings(model).remove(version, e)
 	}
-	if e.paced {
-		p.paced = slices.DeleteFunc(p.paced, func(one *Endpoint) bool { return one == e })
+	if e.paceTracked {
+		p.withPace = slices.DeleteFunc(p.withPace, func(one *Endpoint) bool { return one == e })
 	}
 }
 
@@ -90,7 +90,7 @@
 	return known
 }
 
-// setVersions replaces the versions that an endpoint holds.
+// setVersions replaces the endpoint's versions.
 func (p *Pool) setVersions(e *Endpoint, versions map[string]int64) {
 	for model, version := range e.Versions {
 		if next, holds := versions[model]; !holds || next != version {
@@ -105,8 +105,8 @@
 	e.Versions = versions
 }
 
-// raise notes that an endpoint is about to have another version of a model.
-func (p *Pool) raise(e *Endpoint, model string, version int64) {
+// updateVersion moves an endpoint to the ring of a new version of a model.
+func (p *Pool) updateVersion(e *Endpoint, model string, version int64) {
 	known := p.rings(model)
 	if before, held := e.Versions[model]; held {
 		known.remove(before, e)
@@ -137,22 +137,22 @@
 	}
 }
 
-// notePaced notes that an endpoint's pace is known.
-func (p *Pool) notePaced(e *Endpoint) {
-	if !e.paced {
-		e.paced = true
-		p.paced = append(p.paced, e)
+// trackPace adds an endpoint to withPace.
+func (p *Pool) trackPace(e *Endpoint) {
+	if !e.paceTracked {
+		e.paceTracked = true
+		p.withPace = append(p.withPace, e)
 	}
 }
 
-// BestPace returns the least known time between two events of runs within homes, 0 when none is known.
-// Endpoints that get no new work don't count: items would be rated against a pace that they can't have.
+// BestPace returns the shortest known time between two events within the home regions, 0 if none is
+// known. Endpoints that get no new work are ignored, as items could not reach their pace.
 func (p *Pool) BestPace(now time.Time, homes port.Homes) time.Duration {
 	best := time.Duration(0)
-	p.paced = slices.DeleteFunc(p.paced, func(e *Endpoint) bool {
+	p.withPace = slices.DeleteFunc(p.withPace, func(e *Endpoint) bool {
 		pace := e.Pace(now)
 		if pace == 0 {
-			e.paced = false
+			e.paceTracked = false
 			return true
 		}
 		if (best == 0 || pace < best) && !e.Leaving() && !e.Ejected(now) && homes.Allow(e.Region) {
@@ -163,13 +163,14 @@
 	return best
 }
 
-// Need is what a model needs of a service: slots for its items, on at least so many endpoints.
+// Need is the capacity that a model requires: a number of slots and a minimum number of endpoints.
 type Need struct{ Slots, Endpoints int }
 
-// WorkingSet returns the endpoints that serve the models, in the order of their IDs: for each model those
-// that stand on the ring behind its own position, until its need is met. So all nodes name the same ones,
-// one that comes or goes changes one, and each is counted for one model. Endpoints that get no new work
-// are among them and meet no need. A service of up to WholePass endpoints serves as a whole.
+// WorkingSet returns the endpoints that serve the models, sorted by ID. For each model it selects the
+// endpoints that follow the model's ring position until the model's need is met. All nodes select the
+// same endpoints, a membership change replaces only one of them, and each endpoint counts for one
+// model. Endpoints that get no new work are included but do not count towards the need. Services of up
+// to WholePass endpoints are returned completely.
 func (p *Pool) WorkingSet(needs map[string]Need) []*Endpoint {
 	if p.Len() <= WholePass {
 		return slices.DeleteFunc(slices.Clone(p.All()), func(e *Endpoint) bool { return len(e.Versions) == 0 })
@@ -178,7 +179,7 @@
 	var set []*Endpoint
 	for _, model := range sortedModels(needs) {
 		left := needs[model]
-		p.all.walk(positionOf(model), func(e *Endpoint) bool {
+		p.all.walk(ringPosition(model), func(e *Endpoint) bool {
 			if left.Slots <= 0 && left.Endpoints <= 0 {
 				return false
 			}
--- a/internal/process/endpoint/region.go
+++ b/internal/process/endpoint/region.go
@@ -6,47 +6,45 @@
 )
 
 const (
-	// sameRegion is what Near gives another zone of the own region: the own zone is better still, and
-	// for items of batch jobs both are within tieBand of one another.
-	sameRegion = 0.5
-	// alikeDelays is up to where endpoints count as answering equally soon: zones of one region lie
-	// a millisecond or two apart, and the loads that a node knows of are some milliseconds old.
-	alikeDelays = 5 * time.Millisecond
-	// queueCost is how many times the wait for a slot counts against the way: who joins a queue also
-	// delays those who come after. With near replicas asked for 1.2 times what they bear, callers get
-	// answers after 57.0 ms in the mean where it counts once, as a queue as long as the way stands for
-	// good, and after 34.6 ms where it counts six times; at 0.8 times after 26.2 and 26.3 ms, and after
-	// 27.5 ms where it counts ten times (TestPlayedLoadsOverTwoRegions).
-	queueCost = 6
+	// sameRegionScore is the Near score of another zone in the node's own region. For items of batch
+	// jobs its difference from the node's own zone is within tieTolerance.
+	sameRegionScore = 0.5
+	// delayTolerance is the difference up to which expected delays count as equal. Round trips within a
+	// region differ by a millisecond or two, and known loads are some milliseconds old.
+	delayTolerance = 5 * time.Millisecond
+	// queueWeight is the weight of queueing time relative to network round-trip time. A request that
+	// joins a queue also delays the requests behind it; with a weight of 1, the local queue stays as
+	// long as the round trip to the other region (TestPlayedLoadsOverTwoRegions).
+	queueWeight = 6
 )
 
-// InHomes drops endpoints outside the regions in which the request must stay.
+// InHomes drops endpoints outside the request's home regions.
 func InHomes(q *Query, e *Endpoint) bool { return q.Homes.Allow(e.Region) }
 
-// Near is 1 in the node's own zone, sameRegion in the other zones of its region where there are
-// several regions, 0 elsewhere and where the endpoint's place is not known.
+// Near is 1 in the node's own zone, sameRegionScore in other zones of its region in a multi-region
+// deployment, and 0 elsewhere.
 func Near(q *Query, e *Endpoint) float64 {
 	switch {
 	case e.Zone == q.Zone:
 		return 1
 	case q.Away != nil && q.Region != "" && e.Region == q.Region:
-		return sameRegion
+		return sameRegionScore
 	}
 	return 0
 }
 
-// delay is what it costs, in time, to send a request to an endpoint rather than to an idle one of the
-// own region: the way there and back, and the wait for a slot, given how long a request runs.
+// delay estimates the cost of sending a request to an endpoint compared with an idle one in the node's
+// own region: the additional round-trip time and the weighted wait for a slot.
 func delay(q *Query, e *Endpoint, service time.Duration) time.Duration {
 	cost := q.Away(e.Zone)
 	if ahead := e.Load(q.Now) - e.Slots; ahead >= 0 {
-		cost += queueCost * time.Duration(ahead+1) * service / time.Duration(max(e.Slots, 1))
+		cost += queueWeight * time.Duration(ahead+1) * service / time.Duration(max(e.Slots, 1))
 	}
 	return cost
 }
 
-// serviceTime returns how long a request runs, by the endpoint that answers fastest: the latencies of
-// others hold more of the time that requests waited there.
+// serviceTime estimates how long a request runs from the endpoint with the lowest latency, as higher
+// latencies include more queueing time.
 func serviceTime(q *Query, candidates []*Endpoint) time.Duration {
 	service := time.Duration(0)
 	for _, one := range candidates {
@@ -61,11 +59,10 @@
 	return service
 }
 
-// soonest returns the candidates from which callers are expected to have their answers soonest. So the
-// near region serves while it has a free slot, and gives way once its queues cost callers more than the
-// way to another: at six slots, 25 ms a request and 40 ms of way, with 7 requests each
+// filterByDelay returns the candidates with the lowest expected delay. The node's own region serves
+// requests until queueing there costs more than the round trip to another region
 // (TestRequestsSpillByWhatTheCallerGets).
-func soonest(q *Query, candidates []*Endpoint) []*Endpoint {
+func filterByDelay(q *Query, candidates []*Endpoint) []*Endpoint {
 	if q.Away == nil || len(candidates) == 0 {
 		return candidates
 	}
@@ -74,7 +71,7 @@
 	for i, one := range candidates {
 		delays[i] = delay(q, one, service)
 	}
-	bound := slices.Min(delays) + alikeDelays
+	bound := slices.Min(delays) + delayTolerance
 	var kept []*Endpoint
 	for i, one := range candidates {
 		if delays[i] <= bound {
@@ -84,7 +81,7 @@
 	return kept
 }
 
-// nearest returns those of equally good candidates that are least far away.
+// nearest returns the nearest of equally rated candidates.
 func nearest(q *Query, equal []*Endpoint) []*Endpoint {
 	if q.Away == nil || len(equal) == 0 {
 		return equal
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -9,19 +9,20 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-const wayBetween = 40 * time.Millisecond
+const regionLatency = 40 * time.Millisecond
 
-// away is the way from the region north, whose zones begin with n, to that of any other.
-func away(zone string) time.Duration {
+// testExtraLatency returns the additional round-trip time from the region north, whose zones begin with
+// n.
+func testExtraLatency(zone string) time.Duration {
 	if strings.HasPrefix(zone, "n") {
 		return 0
 	}
-	return wayBetween
+	return regionLatency
 }
 
-// placed returns an endpoint of six slots in a zone of the region north or south.
-func placed(id, zone string, load int) *Endpoint {
-	e := usable(id)
+// endpointIn returns an endpoint with six slots in a zone of the region north or south.
+func endpointIn(id, zone string, load int) *Endpoint {
+	e := newEndpoint(id)
 	e.Zone, e.Region, e.Slots, e.InFlight = zone, "north", 6, load
 	if strings.HasPrefix(zone, "s") {
 		e.Region = "south"
@@ -29,12 +30,12 @@
 	return e
 }
 
-func inNorth() *Query {
-	return &Query{Now: now, Zone: "n1", Region: "north", Model: "m", Room: 1.5, Away: away}
+func northQuery() *Query {
+	return &Query{Now: now, Zone: "n1", Region: "north", Model: "m", Room: 1.5, Away: testExtraLatency}
 }
 
 func TestNear(t *testing.T) {
-	unknown := placed("u", "x", 0)
+	unknown := endpointIn("u", "x", 0)
 	unknown.Region = ""
 	for _, c := range []struct {
 		name    string
@@ -42,25 +43,25 @@
 		several bool
 		want    float64
 	}{
-		{"own zone", placed("a", "n1", 0), true, 1},
-		{"own region", placed("a", "n2", 0), true, sameRegion},
-		{"other region", placed("a", "s1", 0), true, 0},
+		{"own zone", endpointIn("a", "n1", 0), true, 1},
+		{"own region", endpointIn("a", "n2", 0), true, sameRegionScore},
+		{"other region", endpointIn("a", "s1", 0), true, 0},
 		{"unknown zone", unknown, true, 0},
-		{"one region: own zone", placed("a", "n1", 0), false, 1},
-		{"one region: another zone", placed("a", "n2", 0), false, 0},
+		{"single region: own zone", endpointIn("a", "n1", 0), false, 1},
+		{"single region: another zone", endpointIn("a", "n2", 0), false, 0},
 	} {
-		query := inNorth()
+		query := northQuery()
 		if !c.several {
 			query.Away = nil
 		}
 		if got := Near(query, c.e); got != c.want {
-			t.Errorf("%s: %g, should be %g", c.name, got, c.want)
+			t.Errorf("%s: %g, want %g", c.name, got, c.want)
 		}
 	}
 }
 
 func TestInHomes(t *testing.T) {
-	north, south, unknown := placed("n", "n1", 0), placed("s", "s1", 0), placed("u", "x", 0)
+	north, south, unknown := endpointIn("n", "n1", 0), endpointIn("s", "s1", 0), endpointIn("u", "x", 0)
 	unknown.Region = ""
 	for name, profile := range map[string]*Profile{"requests": &Requests, "rollouts": &Rollouts, "long": &LongRollouts, "scoring": &ScoringCalls} {
 		for _, c := range []struct {
@@ -74,7 +75,7 @@
 			{port.NewHomes([]string{"north"}).And(port.NewHomes([]string{"south"})), []*Endpoint{north, unknown, south}, nil},
 		} {
 			for _, ejected := range []bool{false, true} {
-				query := inNorth()
+				query := northQuery()
 				query.Homes, query.AllowEjected = c.homes, ejected
 				if got := profile.Pick(query, c.list); got != c.want {
 					t.Errorf("%s, homes %+v: %v", name, c.homes, got)
@@ -84,20 +85,20 @@
 	}
 }
 
-// fleet returns three endpoints in each region, each with the load of its region.
-func fleet(north, south int) []*Endpoint {
+// twoRegions returns three endpoints in each region with the given loads.
+func twoRegions(north, south int) []*Endpoint {
 	var list []*Endpoint
 	for i := range 3 {
-		list = append(list, placed(fmt.Sprint("n", i), fmt.Sprint("n", i), north), placed(fmt.Sprint("s", i), fmt.Sprint("s", i), south))
+		list = append(list, endpointIn(fmt.Sprint("n", i), fmt.Sprint("n", i), north), endpointIn(fmt.Sprint("s", i), fmt.Sprint("s", i), south))
 	}
 	for _, e := range list {
-		e.Succeeded(25*time.Millisecond + away(e.Zone))
+		e.Succeeded(25*time.Millisecond + testExtraLatency(e.Zone))
 	}
 	return list
 }
 
-// picked plays so many choices, each of which stays at its endpoint, and counts them by region.
-func picked(profile *Profile, list []*Endpoint, choices int, query func() *Query) map[string]int {
+// countByRegion makes a number of choices whose requests stay in flight and counts them by region.
+func countByRegion(profile *Profile, list []*Endpoint, choices int, query func() *Query) map[string]int {
 	counts := map[string]int{}
 	for i := range choices {
 		q := query()
@@ -110,65 +111,64 @@
 	return counts
 }
 
-// TestRequestsSpillByWhatTheCallerGets: requests of 25 ms at endpoints of six slots, 40 ms to the other
-// region and back.
+// Requests take 25 ms on endpoints with six slots, and the round trip to the other region takes 40 ms.
 func TestRequestsSpillByWhatTheCallerGets(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		north, south int
 		choices      int
-		// least and most are how many of the choices go to the south.
+		// least and most bound the number of choices in the south.
 		least, most int
 	}{
-		{"both idle: all that the near region has slots for", 0, 0, 18, 0, 0},
-		{"near slots taken: a short wait is less than the way", 6, 0, 3, 0, 0},
-		{"near queues cost as much as the way: 7 requests each", 7, 0, 18, 18, 18},
-		{"near region full, far one idle", 30, 0, 10, 10, 10},
-		{"far region full, near one idle", 0, 30, 10, 0, 0},
+		{"both idle: the own region serves up to its slots", 0, 0, 18, 0, 0},
+		{"own slots taken: a short wait costs less than the round trip", 6, 0, 3, 0, 0},
+		{"own queues cost as much as the round trip", 7, 0, 18, 18, 18},
+		{"own region full, other region idle", 30, 0, 10, 10, 10},
+		{"other region full, own region idle", 0, 30, 10, 0, 0},
 		{"both full", 30, 30, 5, 0, 0},
 	} {
-		counts := picked(&Requests, fleet(c.north, c.south), c.choices, inNorth)
+		counts := countByRegion(&Requests, twoRegions(c.north, c.south), c.choices, northQuery)
 		if south := counts["south"]; south < c.least || south > c.most || south+counts["north"] != c.choices {
 			t.Errorf("%s: %v of %d", c.name, counts, c.choices)
 		}
 	}
 }
 
-// TestHedgesStayNear: a request that has been to near endpoints goes to another near one with room,
-// and to the far region once it has been to all.
-func TestHedgesStayNear(t *testing.T) {
-	list := fleet(5, 0)
+// A hedged request goes to another endpoint in its own region first and to another region after all of
+// those were tried.
+func TestHedgesPreferOwnRegion(t *testing.T) {
+	list := twoRegions(5, 0)
 	tried := map[string]bool{}
 	for i := range 4 {
-		query := inNorth()
+		query := northQuery()
 		query.Exclude = tried
 		chosen := Requests.Pick(query, list)
 		if want := map[bool]string{true: "north", false: "south"}[i < 3]; chosen.Region != want {
-			t.Errorf("attempt %d goes to %s", i+1, chosen.ID)
+			t.Errorf("attempt %d went to %s, want region %s", i+1, chosen.ID, want)
 		}
 		tried[chosen.ID] = true
 	}
 }
 
-// TestItemsSeekPaceAndMemoryFirst: for a text of seconds the distance decides between equals only.
-func TestItemsSeekPaceAndMemoryFirst(t *testing.T) {
+// Distance only decides between otherwise equal endpoints for items that take seconds.
+func TestItemsPreferPaceAndMemoryOverDistance(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(near, far *Endpoint)
 		want   string
 	}{
-		{"equals", func(_, _ *Endpoint) {}, "near"},
-		{"the near one is slower by half", func(near, far *Endpoint) {
+		{"equal", func(_, _ *Endpoint) {}, "near"},
+		{"near endpoint 1.5 times slower", func(near, far *Endpoint) {
 			near.LearnPace(now, 60*time.Millisecond)
 			far.LearnPace(now, 40*time.Millisecond)
 		}, "far"},
-		{"the near one's memory is taken", func(near, _ *Endpoint) { near.Tokens = 15_000 }, "far"},
-		{"the near one's slots are taken", func(near, _ *Endpoint) { near.InFlight = 6 }, "far"},
+		{"near endpoint out of memory", func(near, _ *Endpoint) { near.Tokens = 15_000 }, "far"},
+		{"near endpoint without a free slot", func(near, _ *Endpoint) { near.InFlight = 6 }, "far"},
 	} {
-		near, far := placed("near", "n2", 0), placed("far", "s1", 0)
+		near, far := endpointIn("near", "n2", 0), endpointIn("far", "s1", 0)
 		c.change(near, far)
 		for rotation := range uint64(4) {
-			query := inNorth()
+			query := northQuery()
 			query.Tokens, query.MemoryTokens, query.Rotation = 2_000, 20_000, rotation
 			query.BestPace = poolOf(near, far).BestPace(now, port.Homes{})
 			if got := LongRollouts.Pick(query, []*Endpoint{near, far}); got == nil || got.ID != c.want {
@@ -177,17 +177,16 @@
 		}
 	}
 	for rotation := range uint64(4) {
-		query := inNorth()
+		query := northQuery()
 		query.Rotation = rotation
-		if got := Rollouts.Pick(query, []*Endpoint{placed("far", "s1", 0), placed("near", "n2", 0)}); got.ID != "near" {
-			t.Errorf("an item goes to the %s one of two equals", got.ID)
+		if got := Rollouts.Pick(query, []*Endpoint{endpointIn("far", "s1", 0), endpointIn("near", "n2", 0)}); got.ID != "near" {
+			t.Errorf("item placed on the %s of two equal endpoints", got.ID)
 		}
 	}
 }
 
-// TestOneRegionPicksAsBefore: a fixed sequence of choices of a deployment of one region; the names are
-// those that the choices gave before regions were known.
-func TestOneRegionPicksAsBefore(t *testing.T) {
+// Guards the sequence of choices in a single-region deployment against changes.
+func TestSingleRegionPickSequence(t *testing.T) {
 	for name, c := range map[string]struct {
 		profile *Profile
 		want    string
@@ -198,16 +197,16 @@
 		"scoring":  {&ScoringCalls, "14140214310324021431"},
 	} {
 		if got := sequence(c.profile); got != c.want {
-			t.Errorf("%s: %s, should be %s", name, got, c.want)
+			t.Errorf("%s: got %s, want %s", name, got, c.want)
 		}
 	}
 }
 
-// sequence plays twenty choices among five endpoints of three zones.
+// sequence returns the IDs of twenty choices among five endpoints in three zones.
 func sequence(profile *Profile) string {
 	var list []*Endpoint
 	for i := range 5 {
-		e := usable(fmt.Sprint(i))
+		e := newEndpoint(fmt.Sprint(i))
 		e.Zone = fmt.Sprint("z", i%3)
 		e.Succeeded(time.Duration(20+7*i) * time.Millisecond)
 		e.LearnPace(now, time.Duration(40+5*(i%2))*time.Millisecond)
@@ -225,12 +224,12 @@
 	return names.String()
 }
 
-// poolOf returns a pool of endpoints of which something is known.
+// poolOf returns a pool of endpoints with tracked paces.
 func poolOf(list ...*Endpoint) *Pool {
 	pool := newPool()
 	for _, e := range list {
 		pool.add(e)
-		pool.notePaced(e)
+		pool.trackPace(e)
 	}
 	return pool
 }
--- a/internal/process/endpoint/registry.go
+++ b/internal/process/endpoint/registry.go
@@ -6,7 +6,7 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Registry holds the endpoints by the replicas' IDs and addresses, and by service.
+// Registry indexes endpoints by ID, address and service.
 type Registry struct {
 	byID      map[string]*Endpoint
 	byAddress map[string]*Endpoint
@@ -18,16 +18,16 @@
 	return &Registry{byID: map[string]*Endpoint{}, byAddress: map[string]*Endpoint{}, byService: map[string]*Pool{}}
 }
 
-// Len returns how many endpoints are listed.
+// Len returns the number of listed endpoints.
 func (r *Registry) Len() int { return len(r.byID) }
 
-// Find returns an endpoint, nil when it is not listed.
+// Find returns an endpoint by ID, nil if it is not listed.
 func (r *Registry) Find(id string) *Endpoint { return r.byID[id] }
 
-// At returns the endpoint at an address, the one listed last of several, nil when there is none.
+// At returns the endpoint most recently listed at an address, nil if there is none.
 func (r *Registry) At(address string) *Endpoint { return r.byAddress[address] }
 
-// All returns all endpoints in the order of their IDs.
+// All returns all endpoints sorted by ID.
 func (r *Registry) All() []*Endpoint {
 	list := make([]*Endpoint, 0, len(r.byID))
 	for _, e := range r.byID {
@@ -37,7 +37,7 @@
 	return list
 }
 
-// Service returns the endpoints of a service in the order of their IDs.
+// Service returns the endpoints of a service sorted by ID.
 func (r *Registry) Service(name string) []*Endpoint {
 	if pool := r.byService[name]; pool != nil {
 		return pool.All()
@@ -45,20 +45,20 @@
 	return nil
 }
 
-// Pool returns the endpoints of a service, nil if it never had any.
+// Pool returns the pool of a service, nil if the service never had an endpoint.
 func (r *Registry) Pool(name string) *Pool { return r.byService[name] }
 
-// Change says how an endpoint changed.
+// Change describes a change of an endpoint.
 type Change struct {
 	Endpoint *Endpoint
-	// Added, Leaving and Removed tell of the change; none is set for a mere update.
+	// Added, Leaving and Removed are all unset for other updates.
 	Added, Leaving, Removed bool
-	// Former is the incarnation that the added one replaces under its ID, nil if there is none.
+	// Former is the previous incarnation that an added endpoint replaces, nil if there is none.
 	Former *Endpoint
 }
 
-// Put takes a replica's record. One that is older than what is known changes nothing: a watch that goes
-// on behind a whole reading tells of changes again.
+// Put applies a replica's record. Records older than the known one are ignored: a watch that resumes
+// after a full read can deliver earlier changes again.
 func (r *Registry) Put(record port.ReplicaRecord) Change {
 	known := r.byID[record.ID]
 	if known == nil {
@@ -87,12 +87,11 @@
 
 func (r *Registry) add(record port.ReplicaRecord) Change {
 	fresh := &Endpoint{ReplicaRecord: record}
-	r.enter(fresh)
+	r.insert(fresh)
 	return Change{Endpoint: fresh, Added: true, Leaving: record.Draining}
 }
 
-// enter lists an endpoint under its ID, its address and its service.
-func (r *Registry) enter(e *Endpoint) {
+func (r *Registry) insert(e *Endpoint) {
 	r.byID[e.ID] = e
 	r.byAddress[e.Address] = e
 	pool := r.byService[e.Service]
@@ -103,25 +102,22 @@
 	pool.add(e)
 }
 
-// newerThan reports whether the endpoint is known by a newer record than that of a revision; 0 tells
-// nothing.
+// newerThan reports whether the endpoint's record is newer than a revision. Revision 0 is unknown.
 func (e *Endpoint) newerThan(revision int64) bool { return revision != 0 && revision < e.Revision }
 
-// replacedBy reports whether a newer record tells of another incarnation. A replica that starts again
-// under its ID holds nothing of before: requests that were at it have ended, its versions may be lower,
-// and its address may be another. Which of two lives is the newer one is told by the store's
-// revisions, as the clocks of replicas step.
+// replacedBy reports whether a newer record belongs to another incarnation of the replica, which shares
+// no state with this one. Incarnations are ordered by store revision because replica clocks may step.
 func (e *Endpoint) replacedBy(record *port.ReplicaRecord) bool {
 	return !record.StartedAt.Equal(e.StartedAt) || record.Service != e.Service || record.Address != e.Address
 }
 
-// Outlives reports whether a listed replica has a newer record than that which is gone.
+// Outlives reports whether a listed replica has a newer record than a removed one.
 func (r *Registry) Outlives(gone port.GoneReplica) bool {
 	known := r.byID[gone.ID]
 	return known != nil && known.newerThan(gone.Revision)
 }
 
-// Remove drops a replica that is no longer listed.
+// Remove removes a replica that is no longer listed.
 func (r *Registry) Remove(id string) Change {
 	known := r.byID[id]
 	if known == nil {
@@ -136,9 +132,9 @@
 	return Change{Endpoint: known, Removed: true}
 }
 
-// Retain drops all endpoints but those named and returns the dropped ones. Nothing is known of them any
-// more; requests that they have go on. The pools are made anew, as dropping thousands one by one takes
-// a time that grows with their number squared.
+// Retain removes all endpoints except the given IDs and returns the removed ones. Their requests in
+// flight continue. The pools are rebuilt because removing thousands of endpoints one by one takes
+// quadratic time.
 func (r *Registry) Retain(ids map[string]bool) []*Endpoint {
 	var dropped []*Endpoint
 	kept := NewRegistry()
@@ -148,7 +144,7 @@
 			dropped = append(dropped, e)
 			continue
 		}
-		kept.enter(e)
+		kept.insert(e)
 	}
 	*r = *kept
 	return dropped
--- a/internal/process/endpoint/ring.go
+++ b/internal/process/endpoint/ring.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ring holds endpoints in the order of the hashes of their IDs, which is the same at all nodes and changes
-// by one endpoint only where one comes or goes. A walk begins anywhere and goes round.
+// ring holds endpoints ordered by the hash of their ID. The order is the same on all nodes and a
+// membership change affects only one endpoint.
 type ring struct {
 	list []*Endpoint
-	// dirty is set while the last ones stand out of order: a whole reading adds thousands, which are
+	// dirty is set while appended endpoints are unsorted. A full read appends thousands, which are
 	// sorted once.
 	dirty bool
 }
@@ -20,8 +20,8 @@
 	return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.ID, b.ID))
 }
 
-// positionOf returns where a walk for a name begins.
-func positionOf(name string) uint64 { return xxhash.Sum64String(name) }
+// ringPosition returns the ring position of a name.
+func ringPosition(name string) uint64 { return xxhash.Sum64String(name) }
 
 func (r *ring) add(e *Endpoint) {
 	r.dirty = r.dirty || len(r.list) > 0 && compareOnRing(r.list[len(r.list)-1], e) > 0
@@ -42,7 +42,7 @@
 	return r.list
 }
 
-// walk visits the endpoints from a position on, once round, until visit returns false.
+// walk visits each endpoint once, starting at a position, until visit returns false.
 func (r *ring) walk(from uint64, visit func(e *Endpoint) bool) {
 	list := r.sorted()
 	start, _ := slices.BinarySearchFunc(list, from, func(e *Endpoint, position uint64) int { return cmp.Compare(e.position, position) })
--- a/internal/process/endpoint/walk.go
+++ b/internal/process/endpoint/walk.go
@@ -5,36 +5,35 @@
 	"slices"
 )
 
-// A choice looks at all endpoints of a small service. Of a large one it takes the best of some usable
-// ones, found by a walk along a ring: the endpoints of the newest versions that the request may use, from
-// a position on that is a model's own, or for other requests the node's own. So a choice costs the same
-// however many endpoints there are (BenchmarkChoose: 2.6 ms at 9,625 endpoints with a look at all, 19 us
-// with a walk), and the same endpoints are chosen again: they have the weights, the prompts and open
-// connections.
+// A choice examines all endpoints of a small pool. In a large pool it picks the best of a bounded
+// number of eligible endpoints, found by walking the rings of the acceptable versions from the position
+// of a model or of the node. The cost of a choice is therefore independent of the pool's size
+// (BenchmarkChoose), and repeated choices reuse endpoints that already hold the weights, cached prompts
+// and open connections.
 const (
-	// WholePass is up to how many endpoints a choice looks at all: choosing the best of 48 costs as much
-	// as a walk.
+	// WholePass is the largest pool that a choice examines completely.
 	WholePass = 128
-	// enoughFree is how many usable endpoints with a free slot end a walk. The best of a few random ones
-	// is nearly as idle as the best of all; so many have all zones and kinds among them.
-	enoughFree = 32
-	// mostMisses bounds the endpoints that a walk passes over for other reasons than their load. Those
-	// that are full count as work: they hold requests.
-	mostMisses = 192
+	// freeTarget is the number of eligible endpoints with a free slot at which a walk stops. It is
+	// large enough to include all zones and hardware types.
+	freeTarget = 32
+	// maxMisses is the number of idle but ineligible endpoints at which a walk stops. Full endpoints do
+	// not count.
+	maxMisses = 192
 )
 
-// walk is the search for usable endpoints of one choice.
+// walk is the search state of one choice.
 type walk struct {
 	profile *Profile
 	query   *Query
 	usable  []*Endpoint
-	// free counts the usable ones with a free slot, misses the idle ones that could not be used.
+	// free is the number of eligible endpoints with a free slot, misses the number of idle but
+	// ineligible ones.
 	free, misses int
 }
 
-// Choose returns the chosen endpoint of a pool, nil when none that was looked at may be used. What a walk
-// from the request's own position misses, the next choices' second walks come by: each begins where the
-// rotation of the query points.
+// Choose returns the best endpoint found in a pool, nil if no examined endpoint is eligible. If the
+// walk from the query's origin finds none, a second walk starts at a position that differs for each
+// choice, so that repeated choices cover the pool.
 func (p *Profile) Choose(q *Query, pool *Pool) *Endpoint {
 	if pool == nil {
 		return nil
@@ -42,22 +41,22 @@
 	if pool.Len() <= WholePass {
 		return p.Pick(q, pool.All())
 	}
-	w := walk{profile: p, query: q, usable: make([]*Endpoint, 0, enoughFree)}
-	w.preferred(pool)
-	w.along(pool, positionOf(q.Origin))
+	w := walk{profile: p, query: q, usable: make([]*Endpoint, 0, freeTarget)}
+	w.visitPreferred(pool)
+	w.visitRings(pool, ringPosition(q.Origin))
 	if len(w.usable) == 0 {
 		w.misses = 0
-		w.along(pool, positionOfRotation(q.Rotation))
+		w.visitRings(pool, rotationPosition(q.Rotation))
 	}
 	return p.best(q, w.usable)
 }
 
-// positionOfRotation spreads the values of a counter over a ring, each far from the last ones
+// rotationPosition distributes counter values over a ring so that consecutive values are far apart
 // (Fibonacci hashing).
-func positionOfRotation(rotation uint64) uint64 { return rotation * 0x9e3779b97f4a7c15 }
+func rotationPosition(rotation uint64) uint64 { return rotation * 0x9e3779b97f4a7c15 }
 
-// preferred takes the endpoint that holds the request's prompt, if it may be used.
-func (w *walk) preferred(pool *Pool) {
+// visitPreferred visits the endpoint that has the request's prompt cached.
+func (w *walk) visitPreferred(pool *Pool) {
 	if w.query.Prefer == "" {
 		return
 	}
@@ -67,8 +66,8 @@
 	}
 }
 
-// along walks the rings of the versions that the request may use, the newest first.
-func (w *walk) along(pool *Pool, from uint64) {
+// visitRings walks the rings of the acceptable versions, newest first.
+func (w *walk) visitRings(pool *Pool, from uint64) {
 	if w.query.Model == "" || w.query.MinVersion <= 0 {
 		pool.all.walk(from, w.visit)
 		return
@@ -78,14 +77,14 @@
 		return
 	}
 	for _, version := range known.versions {
-		if version < w.query.MinVersion || w.over() {
+		if version < w.query.MinVersion || w.done() {
 			return
 		}
 		known.rings[version].walk(from, w.visit)
 	}
 }
 
-// visit looks at one endpoint; it reports whether the walk goes on.
+// visit examines one endpoint and reports whether the walk continues.
 func (w *walk) visit(e *Endpoint) bool {
 	idle := HasSlot(w.query, e)
 	switch {
@@ -99,7 +98,7 @@
 	case idle:
 		w.misses++
 	}
-	return !w.over()
+	return !w.done()
 }
 
-func (w *walk) over() bool { return w.free >= enoughFree || w.misses >= mostMisses }
+func (w *walk) done() bool { return w.free >= freeTarget || w.misses >= maxMisses }
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -10,11 +10,11 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// poolSizes are a small service, that of a deployment with 300 machines, and those of a fleet of a thousand
-// machines and of one twice as large.
+// poolSizes are the pool sizes of a small service, of a deployment with 300 machines and of two large
+// fleets.
 var poolSizes = []int{48, 600, 9625, 19250}
 
-func filled(size int) (*Registry, *Pool) {
+func newTestPool(size int) (*Registry, *Pool) {
 	registry := NewRegistry()
 	for i := range size {
 		registry.Put(port.ReplicaRecord{
@@ -29,14 +29,12 @@
 	return &Query{Now: now, Zone: "z1", Model: "m", Origin: "m", MinVersion: minVersion, Room: 1.5}
 }
 
-// BenchmarkChoose: one choice for an item, while 200 items run. A pass over all endpoints takes 19 us at 48
-// of them, 194 us at 600, 2.6 ms at 9,625 and 6.3 ms at 19,250, with 392 KB allocated at 9,625; a walk 21,
-// 24, 19 and 18 us, with 1.1 KB (one run, beside other work).
+// BenchmarkChoose measures one choice for an item while 200 items run.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprintf("replicas=%d", size), func(b *testing.B) {
 			b.ReportAllocs()
-			_, pool := filled(size)
+			_, pool := newTestPool(size)
 			for i := range 200 {
 				q := itemQuery(1)
 				q.Rotation = uint64(i)
@@ -53,8 +51,8 @@
 	}
 }
 
-// looks counts the endpoints that a choice looks at.
-func looks(profile Profile, q *Query, pool *Pool) int {
+// countVisits returns how many endpoints a choice examines.
+func countVisits(profile Profile, q *Query, pool *Pool) int {
 	count := 0
 	counting := func(*Query, *Endpoint) bool {
 		count++
@@ -65,8 +63,7 @@
 	return count
 }
 
-// TestChoosingCostsTheSame: a choice looks at as many endpoints in a large service as in one twice as
-// large, whatever stands in its way; what grows is the work.
+// The number of endpoints that a choice examines must not grow with the pool.
 func TestChoosingCostsTheSame(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -74,42 +71,42 @@
 		query  func(q *Query)
 		most   int
 	}{
-		{"idle", func(*Registry, *Pool) {}, func(*Query) {}, enoughFree},
-		{"a request", func(*Registry, *Pool) {}, func(q *Query) { q.Model, q.MinVersion, q.Origin = "", 0, "node" }, enoughFree},
-		{"few have the version", func(_ *Registry, pool *Pool) {
+		{"idle", func(*Registry, *Pool) {}, func(*Query) {}, freeTarget},
+		{"caller's request", func(*Registry, *Pool) {}, func(q *Query) { q.Model, q.MinVersion, q.Origin = "", 0, "node" }, freeTarget},
+		{"few endpoints have the version", func(_ *Registry, pool *Pool) {
 			for _, e := range pool.WorkingSet(map[string]Need{"m": {Endpoints: 20}}) {
 				e.LearnVersion("m", 2)
 			}
 		}, func(q *Query) { q.MinVersion = 2 }, 20},
-		{"none has the version", func(*Registry, *Pool) {}, func(q *Query) { q.MinVersion = 2 }, 0},
-		{"all leave", func(_ *Registry, pool *Pool) {
+		{"no endpoint has the version", func(*Registry, *Pool) {}, func(q *Query) { q.MinVersion = 2 }, 0},
+		{"no endpoint gets new work", func(_ *Registry, pool *Pool) {
 			for _, e := range pool.All() {
 				e.Held = true
 			}
-		}, func(*Query) {}, 2 * mostMisses},
-		{"some are full", func(_ *Registry, pool *Pool) {
+		}, func(*Query) {}, 2 * maxMisses},
+		{"some endpoints are full", func(_ *Registry, pool *Pool) {
 			for _, e := range pool.WorkingSet(map[string]Need{"m": {Endpoints: 50}}) {
 				e.InFlight = 9
 			}
-		}, func(*Query) {}, 50 + enoughFree},
+		}, func(*Query) {}, 50 + freeTarget},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, size := range []int{600, 9625, 19250} {
-				registry, pool := filled(size)
+				registry, pool := newTestPool(size)
 				c.change(registry, pool)
 				q := itemQuery(1)
 				c.query(q)
-				if got := looks(Rollouts, q, pool); got > c.most {
-					t.Errorf("%d looks at %d endpoints, should be up to %d", got, size, c.most)
+				if got := countVisits(Rollouts, q, pool); got > c.most {
+					t.Errorf("visited %d of %d endpoints, want up to %d", got, size, c.most)
 				}
 			}
 		})
 	}
 }
 
-// TestWhatOneWalkMissesOthersFind: the one usable endpoint of a service is found by some of the choices.
+// The only eligible endpoint of a large pool is found by some of the choices.
 func TestWhatOneWalkMissesOthersFind(t *testing.T) {
-	_, pool := filled(9625)
+	_, pool := newTestPool(9625)
 	for _, e := range pool.All() {
 		e.Held = e != pool.All()[4711]
 	}
@@ -119,24 +116,23 @@
 			return
 		}
 	}
-	t.Error("400 choices did not find it")
+	t.Error("400 choices did not find the eligible endpoint")
 }
 
-// TestThePreferredEndpointIsFound wherever it stands on the ring.
-func TestThePreferredEndpointIsFound(t *testing.T) {
-	_, pool := filled(9625)
+func TestChoosePreferredEndpoint(t *testing.T) {
+	_, pool := newTestPool(9625)
 	q := itemQuery(1)
 	for i := range 50 {
 		q.Prefer = pool.All()[i*190].ID
 		if got := Rollouts.Choose(q, pool); got.ID != q.Prefer {
-			t.Errorf("%s was chosen, %s has the prompt", got.ID, q.Prefer)
+			t.Errorf("chose %s, want %s, which has the prompt cached", got.ID, q.Prefer)
 		}
 	}
 }
 
-// TestIndexFollowsVersions: the rings hold each endpoint at its version, whichever way it was learned.
-func TestIndexFollowsVersions(t *testing.T) {
-	registry, pool := filled(300)
+// The rings hold each endpoint at its current version after any sequence of updates.
+func TestVersionRings(t *testing.T) {
+	registry, pool := newTestPool(300)
 	random := rand.New(rand.NewPCG(1, 2))
 	for step := range 2000 {
 		e := pool.All()[random.IntN(pool.Len())]
@@ -161,12 +157,12 @@
 		for version, known := range pool.models[model].rings {
 			for _, e := range known.sorted() {
 				if e.Versions[model] != version {
-					t.Errorf("%s has version %d and stands at %d", e.ID, e.Versions[model], version)
+					t.Errorf("%s has version %d but is on the ring of version %d", e.ID, e.Versions[model], version)
 				}
 				indexed++
 			}
 			if !slices.IsSortedFunc(known.list, compareOnRing) || !slices.Contains(pool.models[model].versions, version) {
-				t.Errorf("the ring of version %d is not in order", version)
+				t.Errorf("the ring of version %d is unsorted or not listed", version)
 			}
 		}
 		holding := 0
@@ -176,19 +172,19 @@
 			}
 		}
 		if indexed != holding || len(pool.models[model].rings) != len(pool.models[model].versions) {
-			t.Errorf("%d endpoints of model %s are on rings, %d hold it", indexed, model, holding)
+			t.Errorf("%d endpoints are on the rings of model %s, want %d", indexed, model, holding)
 		}
 	}
 }
 
-// TestWorkingSet: it grows with the need and not with the service, each endpoint counts for one model, and
-// a change of one endpoint changes one.
+// The working set depends on the demand rather than on the pool's size, counts each endpoint for one
+// model, and changes by one endpoint when one is removed.
 func TestWorkingSet(t *testing.T) {
 	needs := map[string]Need{"m": {Slots: 400}, "n": {Slots: 30, Endpoints: 12}}
-	registry, pool := filled(9625)
+	registry, pool := newTestPool(9625)
 	set := pool.WorkingSet(needs)
 	if want := 67 + 12; len(set) != want {
-		t.Errorf("%d endpoints, should be %d", len(set), want)
+		t.Errorf("%d endpoints, want %d", len(set), want)
 	}
 	zones := map[string]int{}
 	for _, e := range set {
@@ -196,7 +192,7 @@
 	}
 	for zone, count := range zones {
 		if len(zones) != 5 || count > len(set)/2 {
-			t.Errorf("%d of %d endpoints lie in zone %s", count, len(set), zone)
+			t.Errorf("%d of %d endpoints are in zone %s", count, len(set), zone)
 		}
 	}
 	gone := set[7]
@@ -204,40 +200,38 @@
 	after := pool.WorkingSet(needs)
 	fresh := slices.DeleteFunc(slices.Clone(after), func(e *Endpoint) bool { return slices.Contains(set, e) })
 	if len(after) != len(set) || len(fresh) != 1 {
-		t.Errorf("%d of %d endpoints are new after one went", len(fresh), len(after))
+		t.Errorf("%d of %d endpoints are new after one was removed", len(fresh), len(after))
 	}
 	after[3].Held = true
 	if held := pool.WorkingSet(needs); len(held) != len(after)+1 {
-		t.Errorf("%d endpoints with one that gets nothing, should be %d", len(held), len(after)+1)
+		t.Errorf("%d endpoints including one that gets no new work, want %d", len(held), len(after)+1)
 	}
-	_, small := filled(WholePass)
+	_, small := newTestPool(WholePass)
 	if got := len(small.WorkingSet(needs)); got != WholePass {
-		t.Errorf("%d endpoints of a small service, should be all", got)
+		t.Errorf("%d endpoints of a small service, want all", got)
 	}
 }
 
-// TestWalksServeAsWellAsWholePasses plays bursts of items over a large service: those that are placed by
-// walks wait no longer, and runs are as evenly spread over slots as with a look at all endpoints.
+// Items placed by walks must not finish later than items placed by full scans.
 func TestWalksServeAsWellAsWholePasses(t *testing.T) {
 	for _, items := range []int{200, 1200, 2400} {
-		whole := playBurst(items, func(q *Query, pool *Pool) *Endpoint { return Rollouts.Pick(q, pool.All()) })
-		walked := playBurst(items, func(q *Query, pool *Pool) *Endpoint { return Rollouts.Choose(q, pool) })
-		t.Logf("%d items on 600 endpoints of 6 slots: ends after %s by whole passes, %s by walks", items, whole, walked)
+		whole := simulateBurst(items, func(q *Query, pool *Pool) *Endpoint { return Rollouts.Pick(q, pool.All()) })
+		walked := simulateBurst(items, func(q *Query, pool *Pool) *Endpoint { return Rollouts.Choose(q, pool) })
+		t.Logf("%d items on 600 endpoints of 6 slots: end after %s with full scans, %s with walks", items, whole, walked)
 		if float64(walked) > 1.05*float64(whole) {
-			t.Errorf("%d items end after %s, %s with a look at all", items, walked, whole)
+			t.Errorf("%d items end after %s with walks, %s with full scans", items, walked, whole)
 		}
 	}
 }
 
-// playBurst has four owners place items, each unaware of the others' runs, and returns when the last one
-// ends. A run takes from 0.3 to 2 s, longer by a hundredth for each other at its endpoint; what is beyond
-// the slots waits for one.
-func playBurst(items int, choose func(q *Query, pool *Pool) *Endpoint) time.Duration {
+// simulateBurst has four owners place items, each unaware of the others' runs, and returns when the
+// last run ends. A run takes 0.3 to 2 s and waits if all slots of its endpoint are taken.
+func simulateBurst(items int, choose func(q *Query, pool *Pool) *Endpoint) time.Duration {
 	const owners = 4
 	random := rand.New(rand.NewPCG(3, 3))
 	var pools [owners]*Pool
 	for i := range pools {
-		_, pools[i] = filled(600)
+		_, pools[i] = newTestPool(600)
 	}
 	type running struct {
 		ends time.Time
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Withheld says why an endpoint gets no new work. All paths on which something is sent to a
-// replica go by it, through the filter NotDraining.
+// Withheld is the reason why an endpoint gets no new work. All sends to replicas check it through the
+// NotDraining filter.
 type Withheld string
 
-// Reasons for which an endpoint gets no new work, the lasting one first.
+// The reasons in order of precedence.
 const (
-	// NotWithheld endpoints get work.
+	// NotWithheld endpoints accept new work.
 	NotWithheld Withheld = ""
-	// WithheldLeaving endpoints drain by their own word.
+	// WithheldLeaving endpoints are draining according to their own record.
 	WithheldLeaving Withheld = "leaving"
-	// WithheldDrained endpoints are drained by operators, or their zone is.
+	// WithheldDrained endpoints are drained by an operator, individually or by zone.
 	WithheldDrained Withheld = "drained"
-	// WithheldEvacuated endpoints lie in an evacuated zone.
+	// WithheldEvacuated endpoints are in an evacuated zone.
 	WithheldEvacuated Withheld = "evacuated"
 )
 
-// Withheld returns why the endpoint gets no new work.
+// Withheld returns the reason why the endpoint gets no new work.
 func (e *Endpoint) Withheld() Withheld {
 	switch {
 	case e.Draining:
@@ -31,7 +31,7 @@
 	return NotWithheld
 }
 
-// SetEvacuated notes whether the endpoint's zone is evacuated, as this node sees it now.
+// SetEvacuated updates whether the endpoint's zone is evacuated.
 func (e *Endpoint) SetEvacuated(now time.Time, evacuated bool) {
 	if evacuated == e.Evacuated {
 		return
