--- a/internal/process/settings/decode.go
+++ b/internal/process/settings/decode.go
@@ -7,7 +7,7 @@
 	"github.com/go-viper/mapstructure/v2"
 )
 
-// decoder refuses unknown fields and values of another type.
+// decoder rejects unknown fields and values of the wrong type.
 func decoder(into any) *mapstructure.DecoderConfig {
 	return &mapstructure.DecoderConfig{
 		Result:      into,
@@ -16,7 +16,7 @@
 	}
 }
 
-// tagName makes faults name fields as the file does.
+// tagName returns the field's name in the settings file, for use in errors.
 func tagName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("koanf"), ",")
 	return name
--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings loads and checks a node's settings from a YAML file with flags
-// laid over it. Every fault is reported with its field, its value and what is
-// allowed.
+// Package settings loads and validates a node's settings from a YAML file and command-line overrides.
+// Each invalid setting is reported with its field, its value and the allowed values.
 package settings
 
 import (
@@ -19,42 +18,33 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Settings are one node's.
+// Settings are the settings of one node.
 type Settings struct {
-	// Name is the node's name, Zone its zone.
+	// Name is the node's name and Zone its zone.
 	Name string `koanf:"name" validate:"required"`
 	Zone string `koanf:"zone" validate:"required"`
-	// Region is the node's region, Zones tell that of each zone; both may be empty in a deployment of
-	// one region.
-	Region string       `koanf:"region" validate:"required_with=Zones"`
-	Zones  []ZoneRegion `koanf:"zones" validate:"unique=Name,dive"`
-	// Listen are the addresses that the node listens on, host and port.
-	Listen Listen `koanf:"listen"`
-	// Store is where the record store is.
-	Store Store `koanf:"store"`
-	// Orders bound the orders to replicas.
-	Orders Orders `koanf:"orders"`
-	// Duties are the calls to the platform that one node at a time makes.
-	Duties Duties `koanf:"duties"`
-	// Cold bounds what cold replicas get.
-	Cold Cold `koanf:"cold"`
-	// Tenants say how callers' keys are taken away.
-	Tenants Tenants `koanf:"tenants"`
-	// Processor is what the process may use of it.
-	Processor Processor `koanf:"processor"`
-	// Memory bounds the process.
-	Memory Memory `koanf:"memory"`
-	// Log configures the log.
-	Log Log `koanf:"log"`
-}
-
-// ZoneRegion names a zone and the region that it lies in.
+	// Region is the node's region and Zones maps zones to regions. Both may be empty in a single-region
+	// deployment.
+	Region    string       `koanf:"region" validate:"required_with=Zones"`
+	Zones     []ZoneRegion `koanf:"zones" validate:"unique=Name,dive"`
+	Listen    Listen       `koanf:"listen"`
+	Store     Store        `koanf:"store"`
+	Orders    Orders       `koanf:"orders"`
+	Duties    Duties       `koanf:"duties"`
+	Cold      Cold         `koanf:"cold"`
+	Tenants   Tenants      `koanf:"tenants"`
+	Processor Processor    `koanf:"processor"`
+	Memory    Memory       `koanf:"memory"`
+	Log       Log          `koanf:"log"`
+}
+
+// ZoneRegion maps a zone to its region.
 type ZoneRegion struct {
 	Name   string `koanf:"name" validate:"required"`
 	Region string `koanf:"region" validate:"required"`
 }
 
-// Topology returns where the node stands among the zones.
+// Topology returns the node's location among the configured zones.
 func (s *Settings) Topology() port.Topology {
 	topology := port.Topology{Zone: s.Zone, Region: s.Region, Regions: map[string]string{}}
 	for _, one := range s.Zones {
@@ -63,113 +53,115 @@
 	return topology
 }
 
-// Cold bounds the requests that a cold replica gets in any second, of all nodes together: Overshoot
-// times the rate that its service names, and Slack more.
+// Cold limits the requests that all nodes together send to a cold replica within any second to
+// Overshoot times the rate given by its service plus Slack.
 type Cold struct {
 	Overshoot float64 `koanf:"overshoot" validate:"omitempty,min=1,max=1000"`
 	Slack     float64 `koanf:"slack" validate:"min=0,max=1000000"`
 }
 
-// Listen are addresses to listen on.
+// Listen holds the addresses that the node listens on, each as host:port.
 type Listen struct {
-	// Requests takes clients, Readiness the question whether the node wants them.
+	// Requests serves clients. Readiness serves readiness probes.
 	Requests  string `koanf:"requests" validate:"required,hostname_port"`
 	Readiness string `koanf:"readiness" validate:"required,hostname_port"`
-	// Metrics serves the process's figures; empty serves none.
+	// Metrics serves the metrics endpoint; empty disables it.
 	Metrics string `koanf:"metrics" validate:"omitempty,hostname_port"`
 }
 
-// Store says where the record store is.
+// Store configures the connection to the record store.
 type Store struct {
 	Address string `koanf:"address" validate:"required,hostname_port"`
-	// LargeList is from how many replicas on a node follows the list of them only while it has use for
-	// it; 0 is the number that one call reads.
+	// LargeList is the number of replicas from which a node follows the replica list only while it
+	// needs it. 0 stands for the number of replicas that fit into one read.
 	LargeList int `koanf:"large_list" validate:"min=0,max=1000000"`
 }
 
-// Orders bound the orders to replicas.
+// Orders configures the version orders to replicas.
 type Orders struct {
-	// PauseMs is the least time between the orders of two holders, in milliseconds.
+	// PauseMs is the minimum time between the orders of two lease holders, in milliseconds.
 	PauseMs int `koanf:"pause_ms" validate:"min=0,max=600000"`
 }
 
-// Pause returns the least time between the orders of two holders.
+// Pause returns the minimum time between the orders of two lease holders.
 func (o Orders) Pause() time.Duration { return time.Duration(o.PauseMs) * time.Millisecond }
 
-// Kinds of duties.
+// Kinds of platform duties.
 const (
-	// DutyUsage is to report each tenant's use.
+	// DutyUsage reports each tenant's usage.
 	DutyUsage = "usage_reporting"
-	// DutyScaling is to order replicas.
+	// DutyScaling orders replicas.
 	DutyScaling = "autoscaling"
 )
 
-// Duties are the calls to the platform that one node at a time makes.
+// Duties configures the calls to the platform that one node at a time makes.
 type Duties struct {
-	// Address is where they go; empty for a platform without duties.
+	// Address is the platform's address; empty disables all duties.
 	Address string `koanf:"address" validate:"omitempty,hostname_port"`
-	// Kinds lists those that the platform has, by commas. Unknown ones are left to others.
+	// Kinds is the comma-separated list of duties that the platform supports. Unknown kinds are
+	// ignored.
 	Kinds string `koanf:"kinds" validate:"required_with=Address"`
-	// Fenced says that the platform refuses calls under an older fence than it has seen.
+	// Fenced tells that the platform rejects calls with a lower fencing token than the highest that it
+	// has seen.
 	Fenced bool `koanf:"fenced"`
-	// CallsPerSecond bounds the calls of all nodes together.
+	// CallsPerSecond limits the calls of all nodes together.
 	CallsPerSecond float64 `koanf:"calls_per_s" validate:"required_with=Address,min=0,max=100000"`
-	// UsageWindowS is the length of a window of use, UsageLateS how long after its end its
-	// report is due, in seconds.
+	// UsageWindowS is the length of a usage window and UsageLateS how long after its end the report is
+	// due, both in seconds.
 	UsageWindowS float64 `koanf:"usage_window_s" validate:"min=0,max=86400"`
 	UsageLateS   float64 `koanf:"usage_late_s" validate:"min=0,max=86400"`
 }
 
-// Has reports whether the platform has a kind of duty.
+// Has reports whether the platform supports a kind of duty.
 func (d Duties) Has(kind string) bool {
 	return d.Address != "" && slices.Contains(strings.Split(d.Kinds, ","), kind)
 }
 
-// Seconds turns a setting in seconds into a duration.
+// Seconds converts a setting in seconds to a duration.
 func Seconds(number float64) time.Duration { return time.Duration(number * float64(time.Second)) }
 
-// Tenants say how callers' keys are taken away.
+// Tenants configures the revocation of API keys.
 type Tenants struct {
-	// Strict refuses callers while the configuration is older than RevocationMs, as their keys
-	// may be gone; else a node that can't reach the store goes on by what it knows.
+	// Strict rejects callers while the configuration is older than RevocationMs, as their keys may have
+	// been revoked. Otherwise a node that cannot reach the store uses the configuration it has.
 	Strict bool `koanf:"strict"`
-	// RevocationMs is how old the configuration may be with Strict, in milliseconds.
+	// RevocationMs is the maximum age of the configuration with Strict, in milliseconds.
 	RevocationMs int `koanf:"revocation_ms" validate:"min=0,max=600000"`
 }
 
-// Revocation returns how old the configuration may be where keys are strict.
+// Revocation returns the maximum age of the configuration with Strict.
 func (t Tenants) Revocation() time.Duration { return time.Duration(t.RevocationMs) * time.Millisecond }
 
-// Memory bounds the process.
+// Memory limits the memory of the process.
 type Memory struct {
-	// LimitMb is the memory that the process may use, in megabytes; 0 for no bound.
+	// LimitMb is the memory limit in megabytes; 0 for no limit.
 	LimitMb int `koanf:"limit_mb" validate:"min=0"`
 }
 
-// Processor is what the process may use of it.
+// Processor configures the CPU share of the process.
 type Processor struct {
-	// Share is in cores; 0 where that is not known.
+	// Share is the number of cores available; 0 if unknown.
 	Share float64 `koanf:"share" validate:"min=0,max=1024"`
 }
 
 // Log configures the log.
 type Log struct {
-	// Level is debug, info, warn or error; JSON writes one object a line.
+	// Level is debug, info, warn or error. JSON writes one JSON object per line.
 	Level string `koanf:"level" validate:"omitempty,oneof=debug info warn error"`
 	JSON  bool   `koanf:"json"`
 }
 
-// Fault is one thing wrong with the settings.
+// Fault describes an invalid setting.
 type Fault struct {
-	// Field is the field's path, Value what it holds, Allowed what it may hold.
+	// Field is the field's path, Value its value and Allowed a description of the allowed values.
 	Field, Value, Allowed string
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s is %q; allowed is %s", f.Field, f.Value, f.Allowed)
+	return fmt.Sprintf("%s: invalid value %q, allowed: %s", f.Field, f.Value, f.Allowed)
 }
 
-// Error lists every fault of the settings.
+// Error lists all invalid settings.
 type Error struct{ Faults []Fault }
 
 func (e *Error) Error() string {
@@ -180,7 +172,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load parses YAML, lays overrides (by field path) over it, and checks the result.
+// Load parses YAML, applies overrides keyed by field path, and validates the result.
 func Load(content []byte, overrides map[string]any) (*Settings, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(content), yaml.Parser()); err != nil {
@@ -204,12 +196,11 @@
 	return line
 }
 
-// unmarshal refuses fields that do not exist, so that a slip of the pen is not
-// taken for a default.
+// unmarshal rejects unknown fields, so that a misspelled field is not silently replaced by its default.
 func unmarshal(k *koanf.Koanf, into any) []Fault {
 	config := koanf.UnmarshalConf{Tag: "koanf", DecoderConfig: decoder(into)}
 	if err := k.UnmarshalWithConf("", into, config); err != nil {
-		return []Fault{{Field: "(file)", Value: strings.ReplaceAll(err.Error(), "\n", " "), Allowed: "the fields in docs/SETTINGS.md, each of its type"}}
+		return []Fault{{Field: "(file)", Value: strings.ReplaceAll(err.Error(), "\n", " "), Allowed: "the fields and types in docs/SETTINGS.md"}}
 	}
 	return nil
 }
@@ -239,13 +230,13 @@
 func allowed(one validator.FieldError) string {
 	switch one.Tag() {
 	case "required", "required_with":
-		return "a value: the field is required"
+		return "a non-empty value (required)"
 	case "hostname_port":
 		return "host:port"
 	case "oneof":
 		return "one of: " + strings.ReplaceAll(one.Param(), " ", ", ")
 	case "unique":
-		return "each " + strings.ToLower(one.Param()) + " once"
+		return "entries with a unique " + strings.ToLower(one.Param())
 	case "min":
 		return "at least " + one.Param()
 	case "max":
@@ -254,5 +245,5 @@
 	return one.Tag() + " " + one.Param()
 }
 
-// String names the node.
+// String returns the name and the zone of the node.
 func (s *Settings) String() string { return fmt.Sprintf("node %q in zone %q", s.Name, s.Zone) }
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -32,21 +32,21 @@
 		{"bad address", `"127.0.0.1:2"`, "nowhere", "listen.readiness"},
 		{"bad metrics address", "listen: {", "listen: {metrics: here, ", "listen.metrics"},
 		{"negative pause", "3000", "-1", "orders.pause_ms"},
-		{"endless pause", "3000", "9000000", "orders.pause_ms"},
+		{"excessive pause", "3000", "9000000", "orders.pause_ms"},
 		{"unknown field", "store:", "colour: red\nstore:", "(file)"},
-		{"unknown field within", "limit_mb", "limit", "(file)"},
+		{"unknown nested field", "limit_mb", "limit", "(file)"},
 		{"wrong type", "3000", "soon", "(file)"},
 		{"not YAML", "name:", "}name", "(file)"},
-		{"bad address of duties", `"127.0.0.1:4"`, "there", "duties.address"},
-		{"duties of no kind", `kinds: "usage_reporting,something_else", `, "", "duties.kinds"},
-		{"duties without a budget", "calls_per_s: 50, ", "", "duties.calls_per_s"},
+		{"bad duties address", `"127.0.0.1:4"`, "there", "duties.address"},
+		{"duties without kinds", `kinds: "usage_reporting,something_else", `, "", "duties.kinds"},
+		{"duties without a rate limit", "calls_per_s: 50, ", "", "duties.calls_per_s"},
 		{"negative window", "usage_window_s: 5", "usage_window_s: -5", "duties.usage_window_s"},
-		{"endless lateness", "usage_late_s: 10", "usage_late_s: 100000", "duties.usage_late_s"},
-		{"negative age of keys", "revocation_ms: 5000", "revocation_ms: -1", "tenants.revocation_ms"},
+		{"excessive lateness", "usage_late_s: 10", "usage_late_s: 100000", "duties.usage_late_s"},
+		{"negative revocation time", "revocation_ms: 5000", "revocation_ms: -1", "tenants.revocation_ms"},
 		{"zones without a region", "region: north\n", "", "region"},
-		{"a zone twice", "name: b", "name: a", "zones"},
-		{"a zone of no region", "{name: b, region: south}", "{name: b}", "zones[1].region"},
-		{"cold replicas below their rate", "overshoot: 1.5", "overshoot: 0.5", "cold.overshoot"},
+		{"duplicate zone", "name: b", "name: a", "zones"},
+		{"zone without a region", "{name: b, region: south}", "{name: b}", "zones[1].region"},
+		{"overshoot below 1", "overshoot: 1.5", "overshoot: 0.5", "cold.overshoot"},
 		{"negative slack", "slack: 5", "slack: -5", "cold.slack"},
 		{"bad level", "level: info", "level: loud", "log.level"},
 	}
@@ -61,10 +61,10 @@
 			}
 			var faults *Error
 			if !errors.As(err, &faults) || faults.Faults[0].Field != c.field {
-				t.Fatalf("error is %v; the field should be %s", err, c.field)
+				t.Fatalf("got error %v, want one for field %s", err, c.field)
 			}
 			if faults.Faults[0].Allowed == "" {
-				t.Errorf("the error must say what is allowed: %v", err)
+				t.Errorf("the error does not give the allowed values: %v", err)
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 func TestOverrides(t *testing.T) {
 	loaded, err := Load([]byte(good), map[string]any{"listen.requests": "127.0.0.1:9", "log.level": "warn"})
 	if err != nil || loaded.Listen.Requests != "127.0.0.1:9" || loaded.Log.Level != "warn" {
-		t.Fatalf("flags must be laid over the file: %+v, %v", loaded, err)
+		t.Fatalf("overrides were not applied: %+v, %v", loaded, err)
 	}
 }
 
@@ -83,7 +83,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		loaded, err := Load(content, nil)
 		if err == nil && (loaded.Name == "" || loaded.Store.Address == "") {
-			t.Error("accepted settings must name the node and its store")
+			t.Error("accepted settings without a node name or a store address")
 		}
 	})
 }
@@ -98,11 +98,10 @@
 	}
 	loaded.Duties.Address = ""
 	if loaded.Duties.Has(DutyUsage) {
-		t.Error("a platform without an address has no duties")
+		t.Error("Has is true without a platform address")
 	}
 }
 
-// TestTopology: the region of each zone is known, the node's own also where the zones are not told.
 func TestTopology(t *testing.T) {
 	loaded, err := Load([]byte(good), nil)
 	if err != nil {
@@ -111,7 +110,7 @@
 	topology := loaded.Topology()
 	for zone, region := range map[string]string{"a": "north", "b": "south", "c": ""} {
 		if got := topology.RegionOf(zone); got != region {
-			t.Errorf("zone %s lies in %q, not in %q", zone, got, region)
+			t.Errorf("zone %s: got region %q, want %q", zone, got, region)
 		}
 	}
 }
