--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -1,6 +1,6 @@
-// Package task lists what the machines of a node want done outside of them. A
-// machine adds tasks to a queue; the daemon or the simulator carries them out and
-// hands each outcome back through Done, within the node's loop.
+// Package task defines the side effects requested by a node's state machines. A state machine adds
+// tasks to a queue; the daemon or the simulator executes them and reports each result through Done on
+// the node's event loop.
 package task
 
 import (
@@ -11,166 +11,163 @@
 	"github.com/doorstep/doorstep/internal/request/relay"
 )
 
-// Task is one thing to be done.
+// Task is a side effect to be executed.
 type Task interface{ isTask() }
 
-// Commit carries out a transaction of the record store.
+// Commit executes a transaction of the record store.
 type Commit struct {
 	Transaction port.RecordTransaction
 	Done        func(now time.Time, result port.RecordResult)
 }
 
-// Range reads records.
+// Range reads a range of records.
 type Range struct {
 	Query port.RecordRange
 	Done  func(now time.Time, result port.RecordResult)
 }
 
-// Run sends an item of a batch job to a replica and reads its stream.
+// Run sends an item of a batch job to a replica and reads the event stream.
 type Run struct {
-	// ID names the run within this node's life.
+	// ID identifies the run within the lifetime of the node process.
 	ID uint64
-	// Item is the request's id at the replica.
-	Item string
-	// Replica and Address say where.
+	// Item is the request ID sent to the replica.
+	Item             string
 	Replica, Address string
-	// Target is the path, Host, Header and Body are the request's.
+	// Target is the request path. Host, Header and Body are sent as they are.
 	Target, Host string
 	Header       http.Header
 	Body         []byte
-	// Tenant is the job's, empty where there are none.
+	// Tenant is the job's tenant, empty without tenants.
 	Tenant string
 	// Limit is the time granted to the replica.
 	Limit time.Duration
-	// SendBy is until when it must be sent, or not at all; zero for any time.
+	// SendBy is the deadline for sending the request, after which it must not be sent; zero for none.
 	SendBy time.Time
-	// Waited is how long the item had waited for a replica.
+	// Waited is how long the item has waited for a replica.
 	Waited time.Duration
 	// Urgent asks the replica to admit the run before others.
 	Urgent bool
-	// After is the id of the event to continue behind, 0 for the beginning.
+	// After is the ID of the event after which to continue, 0 to start from the beginning.
 	After int64
-	// FirstWithin and NextWithin are how long the run may be silent before its first
-	// event and between two.
+	// FirstWithin is the timeout for the first event and NextWithin the timeout between two events.
 	FirstWithin, NextWithin time.Duration
-	// Progress is told now and then which events the run made, and how fast, 0 if that is not
-	// known anew; it returns whether the run is to be stopped as RunSlow.
+	// Progress is called periodically with the new events of the run and its pace, 0 if there is no new
+	// measurement. Its result tells whether to stop the run with RunSlow.
 	Progress func(now time.Time, events []port.ReplicaEvent, pace time.Duration) (stop bool)
 	Done     func(now time.Time, result RunResult)
 }
 
-// StopRun cancels a run or a scoring call; its Done is called as for any other end.
+// StopRun cancels a run or a scoring call. Its Done is still called.
 type StopRun struct{ ID uint64 }
 
-// RunOutcome is how a run ended.
+// RunOutcome is the outcome of a run.
 type RunOutcome int
 
 const (
-	// RunCompleted means that the stream came to its proper end.
+	// RunCompleted means that the stream ended normally.
 	RunCompleted RunOutcome = iota
-	// RunInterrupted means that it broke off; its whole events count.
+	// RunInterrupted means that the stream ended early. The complete events received are kept.
 	RunInterrupted
-	// RunFailed means that the replica answered with a failure of its own.
+	// RunFailed means that the replica answered with an error.
 	RunFailed
-	// RunImpossible means that the item can never be done.
+	// RunImpossible means that the item can never succeed.
 	RunImpossible
-	// RunRefused means that it did not run: the replica is full or loads.
+	// RunRefused means that the replica did not run the item because it is full or loading a version.
 	RunRefused
-	// RunSlow means that it was stopped as its events came too slowly.
+	// RunSlow means that the run was stopped because its events arrived too slowly.
 	RunSlow
-	// RunUnreachable means that the replica could not be reached: the connection was refused
-	// or reset before an answer.
+	// RunUnreachable means that the connection was refused or was reset before an answer.
 	RunUnreachable
-	// RunSilent means that the replica gave no answer in the time granted.
+	// RunSilent means that the replica did not answer in time.
 	RunSilent
 )
 
-// RunResult is the end of a run. Each event carries the version that made it.
+// RunResult is the result of a run. Each event carries the version that generated it.
 type RunResult struct {
 	Outcome RunOutcome
 	Status  int
 	Events  []port.ReplicaEvent
-	// FirstEvent is how long the first event took.
+	// FirstEvent is the time to the first event.
 	FirstEvent time.Duration
-	// Pace is the mean time between two events, 0 when there were too few.
+	// Pace is the mean time between two events, 0 if there were too few.
 	Pace time.Duration
-	// Crashed says that the replica ended while it had the run.
+	// Crashed tells that the replica terminated during the run.
 	Crashed bool
 }
 
-// ScoringCall sends an item's scoring call to a replica of the service that scores.
+// ScoringCall sends an item's scoring call to a replica of the scoring service.
 type ScoringCall struct {
-	// ID names the attempt within this node's life, among those of runs; StopRun cancels it.
+	// ID identifies the attempt within the lifetime of the node process. Runs and scoring calls share
+	// one ID space; StopRun cancels either.
 	ID uint64
-	// Request is the call's id at the replica.
-	Request string
-	// Replica and Address say where.
+	// Request is the request ID sent to the replica.
+	Request          string
 	Replica, Address string
-	// Target is the path, Host and Body are the call's.
+	// Target is the request path. Host and Body are sent as they are.
 	Target, Host string
 	Body         []byte
-	// Tenant is the job's, empty where there are none.
+	// Tenant is the job's tenant, empty without tenants.
 	Tenant string
 	// Limit is the time granted to the attempt.
 	Limit time.Duration
-	// SendBy is as for a Run.
+	// SendBy is the deadline for sending the call, as for a Run.
 	SendBy time.Time
 	Done   func(now time.Time, result ScoringResult)
 }
 
-// ScoringResult is the end of an attempt of a scoring call.
+// ScoringResult is the result of an attempt of a scoring call.
 type ScoringResult struct {
 	Outcome relay.Outcome
-	// Status is the answer's, 0 when none came.
+	// Status is the HTTP status, 0 if there was no answer.
 	Status int
-	// Score is the signature of a success.
+	// Score is the replica's signature of a successful answer.
 	Score string
-	// Err tells why no answer came whole.
+	// Err is the reason for a missing or incomplete answer.
 	Err error
-	// Crashed says that the replica ended while it had the call.
+	// Crashed tells that the replica terminated during the call.
 	Crashed bool
 }
 
-// Order sends an order to a replica.
+// Order sends a version order to a replica.
 type Order struct {
 	Order port.OrderVersion
-	// Limit is the time in which it must have reached the replica: the sender may not order
-	// any more behind it.
+	// Limit is the time within which the order must reach the replica. After it the sender may no
+	// longer hold the order lease.
 	Limit time.Duration
 	Done  func(now time.Time, status port.VersionOrderStatus)
 }
 
-// Report asks a replica for its state.
+// Report requests the state of a replica.
 type Report struct {
 	Replica, Address string
 	Done             func(now time.Time, report port.ReplicaReport)
 }
 
-// ReportUsage reports a window's use to the platform.
+// ReportUsage sends the usage report of a window to the platform.
 type ReportUsage struct {
 	Report port.UsageReport
-	// Limit is the time in which it must have reached the platform, as for Order.
+	// Limit is the time within which the report must reach the platform, as for Order.
 	Limit time.Duration
 	Done  func(now time.Time, status port.DutyStatus)
 }
 
-// OrderReplicas asks the platform for replicas.
+// OrderReplicas requests replicas from the platform.
 type OrderReplicas struct {
 	Order port.ReplicaOrder
-	// Limit is the time in which it must have reached the platform, as for Order.
+	// Limit is the time within which the order must reach the platform, as for Order.
 	Limit time.Duration
 	Done  func(now time.Time, status port.DutyStatus)
 }
 
-// Wake tells those who wait for a batch job that it changed.
+// Wake notifies the clients waiting for a batch job of a change.
 type Wake struct{ Job string }
 
-// ReplicasKnown tells requests that wait for replicas to be read that some were.
+// ReplicasKnown notifies requests that are waiting for the replica list that replicas have been read.
 type ReplicasKnown struct{}
 
 func (ReplicasKnown) isTask() {}
 
-// Log writes a numbered event; fields alternate names and values.
+// Log writes a numbered event. Fields alternates names and values.
 type Log struct {
 	Event  int
 	Fields []any
@@ -188,7 +185,7 @@
 func (Wake) isTask()          {}
 func (Log) isTask()           {}
 
-// Queue collects tasks in order; it belongs to the node's loop.
+// Queue is an ordered list of tasks. It must only be used from the node's event loop.
 type Queue struct{ list []Task }
 
 // Add appends a task.
@@ -197,14 +194,14 @@
 // Log appends a Log task.
 func (q *Queue) Log(number int, fields ...any) { q.Add(Log{Event: number, Fields: fields}) }
 
-// Take empties the queue.
+// Take returns all tasks and empties the queue.
 func (q *Queue) Take() []Task {
 	list := q.list
 	q.list = nil
 	return list
 }
 
-// Later calls back after a while.
+// Later calls Do after a delay.
 type Later struct {
 	After time.Duration
 	Do    func(now time.Time)
