--- a/internal/request/query/query.go
+++ b/internal/request/query/query.go
@@ -1,5 +1,4 @@
-// Package query filters, counts, sorts and bounds the rows of an operator's
-// query. It is pure.
+// Package query filters, counts, sorts and limits the rows of operator queries. It performs no I/O.
 package query
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Columns names the columns of each subject.
+// Columns lists the columns of each subject.
 var Columns = map[string][]string{
 	"experiments": {"experiment", "policy", "service", "state", "trainers", "samples", "staleness", "idle_weight", "share", "prompts", "max_tokens", "scoring"},
 	"policies":    {"policy", "experiment", "newest", "state"},
@@ -30,7 +29,7 @@
 	"history":     {"revision", "from", "operator", "time", "token", "statement"},
 }
 
-// Subjects lists the subjects, sorted.
+// Subjects returns the subjects in alphabetical order.
 func Subjects() []string {
 	var names []string
 	for name := range Columns {
@@ -40,11 +39,11 @@
 	return names
 }
 
-// Check reports what is wrong with a query, such as an unknown column.
+// Check validates the subject and the column names of a query.
 func Check(q *port.Query) error {
 	columns, ok := Columns[q.Subject]
 	if !ok {
-		return fmt.Errorf("unknown subject %q; known are %s", q.Subject, strings.Join(Subjects(), ", "))
+		return fmt.Errorf("unknown subject %q; valid subjects are %s", q.Subject, strings.Join(Subjects(), ", "))
 	}
 	named := []string{q.CountBy, q.OrderBy}
 	for _, comparison := range q.Where {
@@ -55,13 +54,13 @@
 	}
 	for _, name := range named {
 		if name != "" && !slices.Contains(columns, name) {
-			return fmt.Errorf("%s has no column %q; it has %s", q.Subject, name, strings.Join(columns, ", "))
+			return fmt.Errorf("unknown column %q of %s; valid columns are %s", name, q.Subject, strings.Join(columns, ", "))
 		}
 	}
 	return nil
 }
 
-// Run applies a query to rows of its subject.
+// Run applies a query to the rows of its subject.
 func Run(q *port.Query, rows [][]string) (columns []string, out [][]string) {
 	columns = Columns[q.Subject]
 	for _, row := range rows {
@@ -89,7 +88,7 @@
 	return true
 }
 
-// Compare orders two cells: as numbers where both are, else as text.
+// Compare compares two cells as numbers if both are numeric and as text otherwise.
 func Compare(left, right string) int {
 	l, leftError := strconv.ParseFloat(left, 64)
 	r, rightError := strconv.ParseFloat(right, 64)
@@ -136,7 +135,7 @@
 	return []string{by, "count"}, out
 }
 
-// order sorts by the column asked for, else by the first.
+// order sorts by the requested column, by default the first.
 func order(q *port.Query, columns []string, rows [][]string) {
 	index := 0
 	if q.OrderBy != "" {
--- a/internal/request/query/query_test.go
+++ b/internal/request/query/query_test.go
@@ -31,12 +31,12 @@
 			names = append(names, row[0])
 		}
 		if got := fmt.Sprint(names); got != c.want {
-			t.Errorf("%+v: %s, should be %s", c.query, got, c.want)
+			t.Errorf("%+v: got %s, want %s", c.query, got, c.want)
 		}
 	}
 	for _, bad := range []port.Query{{Subject: "gnomes"}, {Subject: "nodes", OrderBy: "colour"}, {Subject: "nodes", CountBy: "x"}} {
 		if Check(&bad) == nil {
-			t.Errorf("%+v should be refused", bad)
+			t.Errorf("%+v: want an error", bad)
 		}
 	}
 }
