--- a/internal/request/statement/statement.go
+++ b/internal/request/statement/statement.go
@@ -1,5 +1,5 @@
-// Package statement parses the operators' language; docs/OPERATORS.md describes
-// it. Errors carry line and column and say what was expected.
+// Package statement parses the operator language, which docs/OPERATORS.md describes. Errors give the
+// line, the column and the expected input.
 package statement
 
 import (
@@ -15,25 +15,24 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// MaximumLength bounds a statement, in bytes.
+// MaximumLength is the maximum length of the text in bytes.
 const MaximumLength = 16 << 10
 
-// Statement is one parsed statement: a query or a command.
+// Statement is a parsed query or command.
 type Statement struct {
-	// Query is set for queries, Command for commands.
 	Query   *port.Query
 	Command *port.Command
-	// Explain asks what the command would change.
+	// Explain requests a preview of the command's changes.
 	Explain bool
-	// Text is the statement as written.
+	// Text is the source text of the statement.
 	Text string
 }
 
-// Error is a statement that cannot be parsed.
+// Error is a syntax error.
 type Error struct {
-	// Line and Column point into the text, from 1.
+	// Line and Column give the position in the text, starting from 1.
 	Line, Column int
-	// Message says what is wrong and what was expected.
+	// Message describes the error and the expected input.
 	Message string
 }
 
@@ -136,7 +135,7 @@
 	participle.UseLookahead(2),
 )
 
-// expectations puts the parser's names for what it expected into the language's words.
+// expectations replaces the parser's rule names by descriptions of the expected input.
 var expectations = strings.NewReplacer(
 	"expected Target", "expected replica, node or zone",
 	"expected Setting", "expected a setting such as policy, service, prompts, trainers or samples",
@@ -149,13 +148,13 @@
 	"expected Alter", "expected NAME set settings",
 )
 
-// Grammar returns the language in EBNF.
+// Grammar returns the grammar in EBNF.
 func Grammar() string { return parser.String() }
 
 // Parse parses statements separated by semicolons.
 func Parse(text string) ([]Statement, error) {
 	if len(text) > MaximumLength {
-		return nil, &Error{Line: 1, Column: 1, Message: fmt.Sprintf("the text is %d bytes; at most %d are allowed", len(text), MaximumLength)}
+		return nil, &Error{Line: 1, Column: 1, Message: fmt.Sprintf("text of %d bytes exceeds the maximum of %d bytes", len(text), MaximumLength)}
 	}
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
@@ -192,14 +191,14 @@
 func (s *sentence) statement() (Statement, error) {
 	query := s.query()
 	if query != nil && s.Explain {
-		return Statement{}, &Error{Line: 1, Column: 1, Message: "explain takes a command, not a query"}
+		return Statement{}, &Error{Line: 1, Column: 1, Message: "explain requires a command, not a query"}
 	}
 	if query != nil {
 		return Statement{Query: query}, nil
 	}
 	command := s.command()
 	if command.Kind == port.ShowStatus && s.Explain {
-		return Statement{}, &Error{Line: 1, Column: 1, Message: "explain takes a command that changes something"}
+		return Statement{}, &Error{Line: 1, Column: 1, Message: "explain requires a command that changes the configuration"}
 	}
 	return Statement{Command: command, Explain: s.Explain}, nil
 }
--- a/internal/request/statement/statement_test.go
+++ b/internal/request/statement/statement_test.go
@@ -58,7 +58,7 @@
 		_, err := Parse(c.text)
 		var positioned *Error
 		if !errors.As(err, &positioned) || positioned.Line != c.line || positioned.Column != c.column {
-			t.Errorf("%q: %v; expected line %d, column %d", c.text, err, c.line, c.column)
+			t.Errorf("%q: got %v, want line %d, column %d", c.text, err, c.line, c.column)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		"show nodes where 1":       "expected",
 	} {
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v should say %q", text, err, want)
+			t.Errorf("%s: got %v, want it to contain %q", text, err, want)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(content), strings.TrimSpace(Grammar())) {
-		t.Error("docs/OPERATORS.md lacks the grammar as doorstep prints it")
+		t.Error("docs/OPERATORS.md does not contain the current grammar")
 	}
 }
 
