--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -1,5 +1,5 @@
-// Package distance keeps how much longer a call to another region takes than one within this node's
-// own. It does no I/O and reads no clock: what was measured is told to it.
+// Package distance estimates how much longer calls to other regions take than calls within the node's
+// own region. It performs no I/O and does not read the clock; measurements are passed in.
 package distance
 
 import (
@@ -9,35 +9,34 @@
 )
 
 const (
-	// assumed stands for a region that nothing was measured of yet. Regions lie tens of milliseconds
-	// apart, zones of one region a millisecond or two; the first connection brings the true figure.
-	assumed = 20 * time.Millisecond
-	// riseWeight is the part of a longer round trip that an estimate takes. A shorter one is taken
-	// whole: a busy machine or a lost packet makes a connection slow, and nothing makes it fast.
+	// defaultDistance is the estimate for a region without measurements.
+	defaultDistance = 20 * time.Millisecond
+	// riseWeight is the weight of a round trip that is longer than the estimate. A shorter one replaces
+	// the estimate, as a busy machine or packet loss only ever adds to a round trip.
 	riseWeight = 0.1
 )
 
-// Distances are this node's.
+// Distances holds the estimates of one node.
 type Distances struct {
-	topology port.Topology
-	several  bool
-	// roundTrips are the estimates by zone, away what follows from them: it is asked for each replica
-	// at each choice of one.
-	roundTrips, away map[string]time.Duration
+	topology    port.Topology
+	multiRegion bool
+	// roundTrips are the estimates by zone. extraLatency is derived from them on each update, as it is
+	// read for every replica that a choice examines.
+	roundTrips, extraLatency map[string]time.Duration
 }
 
-// New returns distances of which nothing was measured.
+// New returns estimates without measurements.
 func New(topology port.Topology) *Distances {
-	d := &Distances{topology: topology, several: topology.Several(), roundTrips: map[string]time.Duration{}, away: map[string]time.Duration{}}
+	d := &Distances{topology: topology, multiRegion: topology.Several(), roundTrips: map[string]time.Duration{}, extraLatency: map[string]time.Duration{}}
 	d.update()
 	return d
 }
 
-// Several reports whether there is more than one region, so that measuring is of use.
-func (d *Distances) Several() bool { return d.several }
+// Several reports whether the deployment has more than one region.
+func (d *Distances) Several() bool { return d.multiRegion }
 
-// Note takes how long it took to open a connection to a replica of a zone: a round trip, without the
-// replica's own work.
+// Note records the time taken to open a connection to a replica in a zone, which is one network round
+// trip.
 func (d *Distances) Note(zone string, roundTrip time.Duration) {
 	known, ok := d.roundTrips[zone]
 	if ok && roundTrip > known {
@@ -47,43 +46,44 @@
 	d.update()
 }
 
-// Away returns how much longer the way to a zone and back is than within the own region: nothing
-// within it, as zones of one region rank by their names alone.
+// Away returns the additional round-trip time to a zone compared with the node's own region. Zones of
+// the node's own region have none.
 func (d *Distances) Away(zone string) time.Duration {
-	if !d.several {
+	if !d.multiRegion {
 		return 0
 	}
-	if away, known := d.away[zone]; known {
+	if away, known := d.extraLatency[zone]; known {
 		return away
 	}
-	return assumed
+	return defaultDistance
 }
 
 func (d *Distances) update() {
-	d.away[d.topology.Zone] = 0
-	here, _ := d.least(d.topology.Region)
+	d.extraLatency[d.topology.Zone] = 0
+	here, _ := d.minRoundTrip(d.topology.Region)
 	for zone, region := range d.topology.Regions {
-		d.away[zone] = 0
+		d.extraLatency[zone] = 0
 		if region == d.topology.Region {
 			continue
 		}
-		d.away[zone] = assumed
-		if there, ok := d.to(zone, region); ok {
-			d.away[zone] = max(there-here, 0)
+		d.extraLatency[zone] = defaultDistance
+		if there, ok := d.roundTripTo(zone, region); ok {
+			d.extraLatency[zone] = max(there-here, 0)
 		}
 	}
 }
 
-// to returns the round trip to a zone, or to the nearest of its region that was measured.
-func (d *Distances) to(zone, region string) (time.Duration, bool) {
+// roundTripTo returns the round trip to a zone or, if it has not been measured, the shortest one to its
+// region.
+func (d *Distances) roundTripTo(zone, region string) (time.Duration, bool) {
 	if there, ok := d.roundTrips[zone]; ok {
 		return there, true
 	}
-	return d.least(region)
+	return d.minRoundTrip(region)
 }
 
-// least returns the shortest round trip to any zone of a region.
-func (d *Distances) least(region string) (time.Duration, bool) {
+// minRoundTrip returns the shortest round trip to any zone of a region.
+func (d *Distances) minRoundTrip(region string) (time.Duration, bool) {
 	least, found := time.Duration(0), false
 	for zone, roundTrip := range d.roundTrips {
 		if d.topology.RegionOf(zone) == region && (!found || roundTrip < least) {
--- a/internal/process/distance/distance_test.go
+++ b/internal/process/distance/distance_test.go
@@ -11,39 +11,39 @@
 
 func TestAway(t *testing.T) {
 	d := New(topology)
-	if got := d.Away("c"); got != assumed {
-		t.Errorf("a region of which nothing was measured is %s away", got)
+	if got := d.Away("c"); got != defaultDistance {
+		t.Errorf("unmeasured region: got %s, want the default", got)
 	}
 	d.Note("a", 2*time.Millisecond)
 	d.Note("b", 4*time.Millisecond)
 	d.Note("c", 42*time.Millisecond)
 	for zone, want := range map[string]time.Duration{
-		"a": 0, "b": 0, "c": 40 * time.Millisecond, "d": 40 * time.Millisecond, "e": assumed, "nowhere": assumed,
+		"a": 0, "b": 0, "c": 40 * time.Millisecond, "d": 40 * time.Millisecond, "e": defaultDistance, "nowhere": defaultDistance,
 	} {
 		if got := d.Away(zone); got != want {
-			t.Errorf("zone %s is %s away, not %s", zone, got, want)
+			t.Errorf("zone %s: got %s, want %s", zone, got, want)
 		}
 	}
 }
 
-// TestEstimate: one slow connection tells little, a lasting change is followed.
+// A single slow connection has little effect, while a lasting change is followed.
 func TestEstimate(t *testing.T) {
 	d := New(topology)
 	d.Note("a", 0)
 	d.Note("c", 40*time.Millisecond)
 	d.Note("c", 140*time.Millisecond)
 	if got := d.Away("c"); got != 50*time.Millisecond {
-		t.Errorf("after one slow connection %s", got)
+		t.Errorf("after one slow connection: got %s, want 50ms", got)
 	}
 	for range 30 {
 		d.Note("c", 140*time.Millisecond)
 	}
 	if got := d.Away("c"); got < 130*time.Millisecond {
-		t.Errorf("after many slow connections %s", got)
+		t.Errorf("after many slow connections: got %s, want at least 130ms", got)
 	}
 	d.Note("c", 40*time.Millisecond)
 	if got := d.Away("c"); got != 40*time.Millisecond {
-		t.Errorf("after a fast one %s", got)
+		t.Errorf("after a fast connection: got %s, want 40ms", got)
 	}
 }
 
@@ -52,7 +52,7 @@
 		d := New(one)
 		d.Note("b", time.Second)
 		if d.Several() || d.Away("b") != 0 || d.Away("unknown") != 0 {
-			t.Errorf("%+v: several %t, %s away", one, d.Several(), d.Away("b"))
+			t.Errorf("%+v: several %t, distance %s", one, d.Several(), d.Away("b"))
 		}
 	}
 }
