--- a/internal/process/clock/clock_test.go
+++ b/internal/process/clock/clock_test.go
@@ -5,96 +5,93 @@
 	"time"
 )
 
-// machine is a machine whose clocks are moved by hand.
+// machine is a machine with manually advanced clocks.
 type machine struct {
-	now  time.Time
-	boot time.Duration
-	asks int
+	now    time.Time
+	boot   time.Duration
+	checks int
 }
 
 func (m *machine) source() Source {
 	return Source{Now: func() time.Time { return m.now }, SinceBoot: func() (time.Duration, bool) {
-		m.asks++
+		m.checks++
 		return m.boot, true
 	}}
 }
 
-// run lets time pass.
-func (m *machine) run(length time.Duration) {
+func (m *machine) advance(length time.Duration) {
 	m.now = m.now.Add(length)
 	m.boot += length
 }
 
-// suspend moves the clock that counts suspensions. The time of day moves along on a real machine; a
-// time carries both readings, which can't be moved apart by hand, so tests set the gap instead.
+// suspend advances the boot-time clock. On a real machine the wall clock advances as well, but the two
+// readings of a time.Time cannot be set independently; tests set the drift instead.
 func (m *machine) suspend(length time.Duration) { m.boot += length }
 
 func newMachine() *machine { return &machine{now: time.Now(), boot: time.Hour} }
 
-// TestSuspendedTimeCounts: a node that was suspended for five seconds took itself for the holder of
-// a lease that another node had taken over, as the steady clock had not moved.
-func TestSuspendedTimeCounts(t *testing.T) {
+// A node that was suspended must not take itself for the holder of an expired lease.
+func TestSuspensionIsIncluded(t *testing.T) {
 	m := newMachine()
 	c := New(m.source())
 	before := c.Now()
 	m.suspend(5 * time.Second)
-	m.run(askEvery)
-	if passed := c.Now().Sub(before); passed != 5*time.Second+askEvery {
-		t.Errorf("%s passed, should be 6s", passed)
+	m.advance(checkInterval)
+	if passed := c.Now().Sub(before); passed != 5*time.Second+checkInterval {
+		t.Errorf("%s passed, want 6s", passed)
 	}
 	if suspended := c.Suspended(); suspended != 5*time.Second {
-		t.Errorf("suspended for %s, should be 5s", suspended)
+		t.Errorf("suspended for %s, want 5s", suspended)
 	}
 	m.suspend(3 * time.Second)
-	m.run(askEvery)
+	m.advance(checkInterval)
 	if suspended := c.Suspended(); suspended != 8*time.Second {
-		t.Errorf("suspended for %s in all, should be 8s", suspended)
+		t.Errorf("suspended for %s in total, want 8s", suspended)
 	}
 }
 
-// TestAGapIsAskedForAtOnce: the time of day tells of a suspension before the clock that counts it is
-// due to be asked.
-func TestAGapIsAskedForAtOnce(t *testing.T) {
+// Drift of the wall clock triggers a check before the next one is due.
+func TestDriftTriggersCheck(t *testing.T) {
 	m := newMachine()
 	c := New(m.source())
 	m.suspend(5 * time.Second)
-	c.gap = -5 * time.Second
+	c.drift = -5 * time.Second
 	if now, suspended := c.Read(); suspended != 5*time.Second || now.Sub(m.now) != 5*time.Second {
-		t.Errorf("suspended for %s, should be 5s", suspended)
+		t.Errorf("suspended for %s, want 5s", suspended)
 	}
 }
 
-func TestAStepOfTheTimeOfDayIsNoSuspension(t *testing.T) {
+func TestWallClockStepIsNoSuspension(t *testing.T) {
 	m := newMachine()
 	c := New(m.source())
-	c.gap = 2 * time.Second
-	m.run(gapTolerance)
+	c.drift = 2 * time.Second
+	m.advance(driftTolerance)
 	if _, suspended := c.Read(); suspended != 0 {
-		t.Errorf("suspended for %s after a step", suspended)
+		t.Errorf("suspended for %s after a wall clock step, want 0", suspended)
 	}
 }
 
-func TestTheClockIsSeldomAsked(t *testing.T) {
+func TestCheckInterval(t *testing.T) {
 	m := newMachine()
 	c := New(m.source())
-	asked := m.asks
+	asked := m.checks
 	for range 400 {
-		m.run(25 * time.Millisecond)
+		m.advance(25 * time.Millisecond)
 		_ = c.Now()
 	}
-	if asks := m.asks - asked; asks > 10 {
-		t.Errorf("asked %d times in ten seconds", asks)
+	if asks := m.checks - asked; asks > 10 {
+		t.Errorf("checked %d times in ten seconds, want at most 10", asks)
 	}
 }
 
-func TestWithoutAClockOfSuspensions(t *testing.T) {
+func TestWithoutBootClock(t *testing.T) {
 	m := newMachine()
 	source := m.source()
 	source.SinceBoot = func() (time.Duration, bool) { return 0, false }
 	c := New(source)
-	m.run(time.Minute)
+	m.advance(time.Minute)
 	if now := c.Now(); !now.Equal(m.now) {
-		t.Errorf("%s, should be %s", now, m.now)
+		t.Errorf("got %s, want %s", now, m.now)
 	}
 }
 
@@ -106,6 +103,6 @@
 		t.Errorf("%s passed", passed)
 	}
 	if _, ok := sinceBoot(); !ok {
-		t.Error("the clock that counts suspensions can't be read")
+		t.Error("the boot-time clock cannot be read")
 	}
 }
