--- a/internal/request/access/access.go
+++ b/internal/request/access/access.go
@@ -1,5 +1,4 @@
-// Package access decides which callers are let in, by their API keys. It reads no clock and does
-// no I/O.
+// Package access authenticates callers by their API keys. It reads no clock and performs no I/O.
 package access
 
 import (
@@ -8,63 +7,64 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// confirmedWithin is how old the configuration may be by which a key counts as unknown: four
-// times as old as its watch lets it become while the store answers. A node that can't ask the
-// store may not have heard of a new key yet, so the caller is sent to another node.
-const confirmedWithin = 3200 * time.Millisecond
+// maxKeyAge is the maximum age of the configuration by which a key can be rejected as unknown. A node
+// with an older configuration may not have received a new key yet, so the caller is referred to another
+// node. It is four times the age that the configuration reaches while the store is available.
+const maxKeyAge = 3200 * time.Millisecond
 
-// Tenants are those of one version of the configuration.
+// Tenants looks up tenants in one version of the configuration.
 type Tenants interface {
-	// HasTenants reports whether callers are told apart by their keys.
+	// HasTenants reports whether tenants are configured.
 	HasTenants() bool
-	// Tenant returns the name of the tenant that holds a key.
+	// Tenant returns the name of the tenant that owns a key.
 	Tenant(key port.KeyDigest) (name string, known bool)
 }
 
-// Policy says how keys that are taken away are treated.
+// Policy configures the handling of possibly revoked keys.
 type Policy struct {
-	// Strict refuses callers with a key while the configuration is as old as Revocation.
+	// Strict rejects callers with a key once the configuration is as old as Revocation.
 	Strict     bool
 	Revocation time.Duration
 }
 
-// Call is what a caller shows.
+// Call holds the credentials of a call.
 type Call struct {
-	// Key is the digest of its key, if Given is set.
+	// Key is the digest of the API key, valid if Given is set.
 	Key   port.KeyDigest
 	Given bool
-	// Anonymous says that the call needs no key.
+	// Anonymous tells that the call requires no key.
 	Anonymous bool
 }
 
-// Caller is who makes a call.
+// Caller identifies the caller of a call.
 type Caller struct {
-	// Tenant is the caller's, empty without a key and where there are no tenants.
+	// Tenant is the caller's tenant, empty without a key or without tenants.
 	Tenant string
-	// Told says that the configuration tells callers apart.
+	// Told tells that tenants are configured.
 	Told bool
 }
 
-// MayUse reports whether a caller may see what belongs to a tenant: its own, or nobody's.
+// MayUse reports whether the caller may access a resource of a tenant: its own or one without a tenant.
 func (c Caller) MayUse(tenant string) bool { return !c.Told || tenant == "" || tenant == c.Tenant }
 
-// Verdict says whether a caller is let in.
+// Verdict is the result of authenticating a call.
 type Verdict int
 
 const (
-	// Admitted callers are let in.
+	// Admitted callers may make the call.
 	Admitted Verdict = iota
-	// NoKey means that the call needs a key and has none.
+	// NoKey means that the call requires a key and has none.
 	NoKey
-	// UnknownKey means that no tenant holds the key.
+	// UnknownKey means that no tenant owns the key.
 	UnknownKey
-	// Unconfirmed means that the key can't be judged for now: another node may.
+	// Unconfirmed means that this node's configuration is too old to decide; another node may be able
+	// to.
 	Unconfirmed
 )
 
-// Judge finds the caller of a call and whether it is let in. age is how long the configuration
-// has not been confirmed by the store. Where there are no tenants every caller is let in, and so
-// is one without a key, or with an unknown one, if anonymous callers are allowed.
+// Judge authenticates a call. age is the time since the configuration was last confirmed by the store.
+// Without tenants every caller is admitted; with tenants, callers without a known key are admitted only
+// if the call is anonymous.
 func (p Policy) Judge(tenants Tenants, call Call, age time.Duration) (Caller, Verdict) {
 	if !tenants.HasTenants() {
 		return Caller{}, Admitted
@@ -80,7 +80,7 @@
 		return who, Admitted
 	case !call.Given:
 		return who, NoKey
-	case age > confirmedWithin:
+	case age > maxKeyAge:
 		return who, Unconfirmed
 	}
 	return who, UnknownKey
--- a/internal/request/access/access_test.go
+++ b/internal/request/access/access_test.go
@@ -7,7 +7,7 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// keys are tenants by their keys.
+// keys maps API keys to tenants.
 type keys map[port.KeyDigest]string
 
 func (k keys) HasTenants() bool { return k != nil }
@@ -37,22 +37,22 @@
 	}{
 		{"no tenants", Policy{}, nil, unknown, time.Hour, "", Admitted},
 		{"no tenants, strict", strict, nil, Call{}, time.Hour, "", Admitted},
-		{"a known key", Policy{}, red, known, 0, "red", Admitted},
-		{"a known key, the store away", Policy{}, red, known, time.Hour, "red", Admitted},
-		{"a known key, strict", strict, red, known, time.Second - 1, "red", Admitted},
-		{"a known key, strict, the store away", strict, red, known, time.Second, "red", Unconfirmed},
-		{"a known key where none is needed, strict, the store away", strict, red, anonymous(known), time.Second, "red", Unconfirmed},
+		{"known key", Policy{}, red, known, 0, "red", Admitted},
+		{"known key, stale configuration", Policy{}, red, known, time.Hour, "red", Admitted},
+		{"known key, strict", strict, red, known, time.Second - 1, "red", Admitted},
+		{"known key, strict, stale configuration", strict, red, known, time.Second, "red", Unconfirmed},
+		{"known key on an anonymous call, strict, stale configuration", strict, red, anonymous(known), time.Second, "red", Unconfirmed},
 		{"no key", Policy{}, red, Call{}, 0, "", NoKey},
-		{"no key, the store away", strict, red, Call{}, time.Hour, "", NoKey},
-		{"no key where none is needed", strict, red, anonymous(Call{}), time.Hour, "", Admitted},
-		{"an unknown key", Policy{}, red, unknown, confirmedWithin, "", UnknownKey},
-		{"an unknown key, the store away", Policy{}, red, unknown, confirmedWithin + 1, "", Unconfirmed},
-		{"an unknown key where none is needed", Policy{}, red, anonymous(unknown), time.Hour, "", Admitted},
-		{"a tenant without keys", Policy{}, keys{}, known, 0, "", UnknownKey},
+		{"no key, stale configuration", strict, red, Call{}, time.Hour, "", NoKey},
+		{"no key on an anonymous call", strict, red, anonymous(Call{}), time.Hour, "", Admitted},
+		{"unknown key", Policy{}, red, unknown, maxKeyAge, "", UnknownKey},
+		{"unknown key, stale configuration", Policy{}, red, unknown, maxKeyAge + 1, "", Unconfirmed},
+		{"unknown key on an anonymous call", Policy{}, red, anonymous(unknown), time.Hour, "", Admitted},
+		{"no keys configured", Policy{}, keys{}, known, 0, "", UnknownKey},
 	} {
 		who, verdict := c.policy.Judge(c.tenants, c.call, c.age)
 		if who.Tenant != c.tenant || verdict != c.verdict || who.Told != (c.tenants != nil) {
-			t.Errorf("%s: %+v, verdict %d, should be %q, %d", c.name, who, verdict, c.tenant, c.verdict)
+			t.Errorf("%s: got %+v, verdict %d, want %q, %d", c.name, who, verdict, c.tenant, c.verdict)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 		{Caller{Told: true}, "blue", false}, {Caller{Told: true}, "", true},
 	} {
 		if c.who.MayUse(c.tenant) != c.may {
-			t.Errorf("%+v may use %q: should be %t", c.who, c.tenant, c.may)
+			t.Errorf("%+v may use %q: want %t", c.who, c.tenant, c.may)
 		}
 	}
 }
