--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay decides over the attempts of one caller's request: when another
-// replica is tried, and what the caller is told in the end. It does no I/O.
+// Package relay decides on the attempts of a caller's request: when to try another replica and what to
+// answer. It performs no I/O.
 package relay
 
 import (
@@ -10,17 +10,17 @@
 )
 
 const (
-	// leastLeft is the least time for which an attempt is worth while.
-	leastLeft = 15 * time.Millisecond
-	// hedgePart is the part of the objective, one in so many, after which a second
-	// replica is tried for a slow request that may be repeated.
-	hedgePart = 2
-	// retryAfter tells callers when to come back after a refusal.
+	// minAttemptTime is the minimum remaining time for starting an attempt.
+	minAttemptTime = 15 * time.Millisecond
+	// hedgeDivisor divides the latency objective to get the delay after which a repeatable request is
+	// hedged.
+	hedgeDivisor = 2
+	// retryAfter is the Retry-After of a refusal.
 	retryAfter = 200 * time.Millisecond
-	// evacuatedRetryAfter is told where all replicas lie in evacuated zones: zones come back after
-	// seconds at the soonest, so that a caller who comes back earlier is refused again.
+	// evacuatedRetryAfter is the Retry-After if all replicas are in evacuated zones. Evacuations last
+	// for seconds at least, so an earlier retry would be refused again.
 	evacuatedRetryAfter = time.Second
-	// defaultDeadline holds for callers that name none.
+	// defaultDeadline applies to callers that do not set a deadline.
 	defaultDeadline = 30 * time.Second
 )
 
@@ -31,29 +31,29 @@
 	ReasonEvacuated = "the replicas are in evacuated zones"
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the outcome of an attempt.
 type Outcome int
 
 const (
-	// Answered means that the replica's whole answer is at hand.
+	// Answered means that the replica's complete answer was received.
 	Answered Outcome = iota
-	// Errored means that the replica answered whole, with a failure of its own.
+	// Errored means that the replica returned a complete error response.
 	Errored
-	// NotRun means that the replica said so.
+	// NotRun means that the replica reported that it did not run the request.
 	NotRun
-	// Broken means that the request may have run and its answer is lost.
+	// Broken means that the request may have run but its answer was lost.
 	Broken
-	// Unreached means that no byte was sent, as no connection came up in time.
+	// Unreached means that no connection was established in time, so nothing was sent.
 	Unreached
-	// Refused means that no byte was sent, as nothing listens at the replica's address.
+	// Refused means that the connection was refused, so nothing was sent.
 	Refused
 )
 
-// Action is what is to be done next.
+// Action is the next step of a request.
 type Action int
 
 const (
-	// Wait for an attempt to end, or until the time given.
+	// Wait until an attempt ends or until the time given.
 	Wait Action = iota
 	// Launch another attempt.
 	Launch
@@ -63,15 +63,15 @@
 	Fail
 )
 
-// Decision is an action with its particulars.
+// Decision is an action with its parameters.
 type Decision struct {
 	Action Action
-	// Until is when to ask again.
+	// Until is when to call Next again.
 	Until time.Time
-	// Status is the answer's; RetryAfter is when to come back, if not 0.
+	// Status is the HTTP status of the answer. RetryAfter is its Retry-After, 0 for none.
 	Status     int
 	RetryAfter time.Duration
-	// Reason is for the log.
+	// Reason is the reason of a failure, for the log.
 	Reason string
 }
 
@@ -82,21 +82,20 @@
 	deadline    time.Time
 	hedgeAfter  time.Duration
 	launchedAt  time.Time
-	// launched counts the attempts that were sent to a replica or may yet be, open those under way.
+	// launched counts the attempts that were or may still be sent, open those in progress.
 	launched int
 	open     int
-	// mayHaveRun is set once an attempt was lost.
+	// mayHaveRun is set once the answer of an attempt was lost or an error.
 	mayHaveRun bool
 	exhausted  bool
-	// evacuated is set once there is no replica left but in evacuated zones.
+	// evacuated is set once all remaining replicas are in evacuated zones.
 	evacuated bool
 	answered  bool
 	errored   bool
 	ended     bool
 }
 
-// New returns the state of a request that arrived now. wait is how long its caller
-// waits, 0 when unsaid.
+// New returns the state of a request that arrives now. wait is the caller's timeout, 0 if it has none.
 func New(now time.Time, route *port.Route, wait time.Duration) *Relay {
 	if wait <= 0 {
 		wait = defaultDeadline
@@ -108,39 +107,39 @@
 		repeatable:  route.Kind == port.RouteIdempotent || route.Kind == port.RouteStreaming && route.Resumable,
 		maxAttempts: max(route.MaxAttempts, 1),
 		deadline:    now.Add(wait),
-		hedgeAfter:  route.Objective / hedgePart,
+		hedgeAfter:  route.Objective / hedgeDivisor,
 	}
 }
 
-// Deadline returns when the request must have its final answer.
+// Deadline returns when the request must be answered.
 func (r *Relay) Deadline() time.Time { return r.deadline }
 
-// Left returns the time that may be granted to a replica.
+// Left returns the time until the deadline.
 func (r *Relay) Left(now time.Time) time.Duration { return r.deadline.Sub(now) }
 
-// Pending reports whether an attempt is under way.
+// Pending reports whether an attempt is in progress.
 func (r *Relay) Pending() bool { return r.open > 0 }
 
-// LimitAttempts lowers the number of replicas that the request may be sent to.
+// LimitAttempts lowers the maximum number of attempts.
 func (r *Relay) LimitAttempts(most int) { r.maxAttempts = min(r.maxAttempts, most) }
 
-// Launched notes that an attempt was sent.
+// Launched records that an attempt was started.
 func (r *Relay) Launched(now time.Time) {
 	r.launched++
 	r.open++
 	r.launchedAt = now
 }
 
-// NoEndpoint notes that no replica is left to try.
+// NoEndpoint records that there is no other replica to try.
 func (r *Relay) NoEndpoint() { r.exhausted = true }
 
-// Evacuated notes that all replicas that could serve lie in evacuated zones.
+// Evacuated records that all remaining replicas are in evacuated zones.
 func (r *Relay) Evacuated() {
 	r.exhausted = true
 	r.evacuated = true
 }
 
-// Ended notes how an attempt ended.
+// Ended records the outcome of an attempt.
 func (r *Relay) Ended(outcome Outcome) {
 	r.open--
 	r.ended = true
@@ -153,17 +152,16 @@
 	case Broken:
 		r.mayHaveRun = true
 	case Refused:
-		// The route bounds the replicas that a request is sent to. While replicas of a service of
-		// three ended and came back, 17 of 89 refusals came after two refused connections though
-		// another replica served (logs of nine nodes, eleven seconds).
+		// A refused connection does not count against the maximum number of attempts. During a rolling
+		// restart the limit could otherwise be used up while another replica is available.
 		r.launched--
 	case NotRun, Unreached:
-		// A caller does better to come back at another node than to wait for one silent replica
-		// after the other here.
+		// These count as attempts. If replicas do not respond, the caller should retry on another node
+		// rather than wait for several timeouts here.
 	}
 }
 
-// Next decides what is to be done.
+// Next decides on the next step.
 func (r *Relay) Next(now time.Time) Decision {
 	if r.answered {
 		return Decision{Action: Deliver}
@@ -175,7 +173,7 @@
 		return Decision{Action: Launch}
 	}
 	if r.open > 0 {
-		return Decision{Action: Wait, Until: r.nextLook(now)}
+		return Decision{Action: Wait, Until: r.nextCheck(now)}
 	}
 	if r.errored {
 		return Decision{Action: Deliver}
@@ -186,10 +184,10 @@
 	return r.fail(ReasonNoAttempt)
 }
 
-// mayLaunch reports whether another attempt is allowed and called for.
+// mayLaunch reports whether another attempt is allowed and due.
 func (r *Relay) mayLaunch(now time.Time) bool {
 	switch {
-	case r.exhausted || r.launched >= r.maxAttempts || r.Left(now) < leastLeft:
+	case r.exhausted || r.launched >= r.maxAttempts || r.Left(now) < minAttemptTime:
 		return false
 	case r.launched == 0:
 		return true
@@ -201,7 +199,7 @@
 	return r.repeatable && r.hedgeAfter > 0 && now.Sub(r.launchedAt) >= r.hedgeAfter
 }
 
-func (r *Relay) nextLook(now time.Time) time.Time {
+func (r *Relay) nextCheck(now time.Time) time.Time {
 	if r.repeatable && !r.exhausted && r.launched < r.maxAttempts && r.hedgeAfter > 0 {
 		hedgeAt := r.launchedAt.Add(r.hedgeAfter)
 		if hedgeAt.After(now) && hedgeAt.Before(r.deadline) {
@@ -211,7 +209,7 @@
 	return r.deadline
 }
 
-// fail tells the truth: 503 only if the request has not run and never will.
+// fail returns a failure. Its status is 503 only if the request has not run and will not run.
 func (r *Relay) fail(reason string) Decision {
 	if !r.mayHaveRun && r.open == 0 {
 		after := retryAfter
--- a/internal/request/relay/relay_test.go
+++ b/internal/request/relay/relay_test.go
@@ -10,15 +10,15 @@
 
 var start = time.Unix(1000, 0)
 
-// happening is one input of a request's life, at a time since its start.
-type happening struct {
-	at       time.Duration
-	launch   bool
-	ended    *Outcome
-	nobody   bool
-	want     Action
-	status   int
-	comeBack bool
+// step is one input to a request's state and the expected decision.
+type step struct {
+	at         time.Duration
+	launch     bool
+	ended      *Outcome
+	noEndpoint bool
+	want       Action
+	status     int
+	retryAfter bool
 }
 
 func outcome(o Outcome) *Outcome { return &o }
@@ -31,100 +31,100 @@
 	cases := []struct {
 		name  string
 		route port.Route
-		life  []happening
+		steps []step
 	}{
-		{"answered at once", idempotent, []happening{
+		{"answered at once", idempotent, []step{
 			{want: Launch}, {launch: true, want: Wait}, {at: ms(10), ended: outcome(Answered), want: Deliver},
 		}},
-		{"no replica", once, []happening{
-			{want: Launch}, {nobody: true, want: Fail, status: http.StatusServiceUnavailable, comeBack: true},
+		{"no replica", once, []step{
+			{want: Launch}, {noEndpoint: true, want: Fail, status: http.StatusServiceUnavailable, retryAfter: true},
 		}},
-		{"turned away, then answered", once, []happening{
+		{"refused for load, then answered", once, []step{
 			{want: Launch}, {launch: true, want: Wait}, {at: ms(5), ended: outcome(NotRun), want: Launch},
 			{at: ms(5), launch: true, want: Wait}, {at: ms(9), ended: outcome(Answered), want: Deliver},
 		}},
-		{"turned away everywhere", once, []happening{
+		{"refused for load by all replicas", once, []step{
 			{launch: true, want: Wait}, {ended: outcome(NotRun), want: Launch}, {launch: true, want: Wait}, {ended: outcome(NotRun), want: Launch},
-			{launch: true, want: Wait}, {ended: outcome(NotRun), want: Fail, status: http.StatusServiceUnavailable, comeBack: true},
+			{launch: true, want: Wait}, {ended: outcome(NotRun), want: Fail, status: http.StatusServiceUnavailable, retryAfter: true},
 		}},
-		{"two replicas are gone: they were sent nothing, so no attempt is spent on them", idempotent, []happening{
+		{"refused connections do not count as attempts", idempotent, []step{
 			{launch: true, want: Wait}, {at: ms(1), ended: outcome(Refused), want: Launch},
 			{at: ms(1), launch: true, want: Wait}, {at: ms(2), ended: outcome(Refused), want: Launch},
 			{at: ms(2), launch: true, want: Wait}, {at: ms(9), ended: outcome(Broken), want: Launch},
 			{at: ms(9), launch: true, want: Wait}, {at: ms(12), ended: outcome(Answered), want: Deliver},
 		}},
-		{"all replicas are gone", once, []happening{
+		{"all connections refused", once, []step{
 			{launch: true, want: Wait}, {at: ms(1), ended: outcome(Refused), want: Launch},
-			{at: ms(1), nobody: true, want: Fail, status: http.StatusServiceUnavailable, comeBack: true},
+			{at: ms(1), noEndpoint: true, want: Fail, status: http.StatusServiceUnavailable, retryAfter: true},
 		}},
-		{"two replicas are silent: the caller is told", idempotent, []happening{
+		{"connection timeouts count as attempts", idempotent, []step{
 			{launch: true, want: Wait}, {at: ms(1), ended: outcome(Unreached), want: Launch},
-			{at: ms(1), launch: true, want: Wait}, {at: ms(2), ended: outcome(Unreached), want: Fail, status: http.StatusServiceUnavailable, comeBack: true},
+			{at: ms(1), launch: true, want: Wait}, {at: ms(2), ended: outcome(Unreached), want: Fail, status: http.StatusServiceUnavailable, retryAfter: true},
 		}},
-		{"lost and not repeatable", once, []happening{
+		{"answer lost, not repeatable", once, []step{
 			{launch: true, want: Wait}, {at: ms(5), ended: outcome(Broken), want: Fail, status: http.StatusBadGateway},
 		}},
-		{"lost and repeatable", idempotent, []happening{
+		{"answer lost, repeatable", idempotent, []step{
 			{launch: true, want: Wait}, {at: ms(5), ended: outcome(Broken), want: Launch},
 			{at: ms(5), launch: true, want: Wait}, {at: ms(9), ended: outcome(Broken), want: Fail, status: http.StatusBadGateway},
 		}},
-		{"lost once, turned away then: it may have run", idempotent, []happening{
+		{"answer lost, then refused for load: may have run", idempotent, []step{
 			{launch: true, want: Wait}, {ended: outcome(Broken), want: Launch}, {launch: true, want: Wait},
 			{ended: outcome(NotRun), want: Fail, status: http.StatusBadGateway},
 		}},
-		{"slow: another replica is tried", idempotent, []happening{
+		{"slow request is hedged", idempotent, []step{
 			{launch: true, want: Wait}, {at: ms(49), want: Wait}, {at: ms(51), want: Launch},
 			{at: ms(51), launch: true, want: Wait}, {at: ms(60), ended: outcome(Answered), want: Deliver},
 		}},
-		{"slow and not repeatable: waited for", once, []happening{
+		{"slow and not repeatable: no hedging", once, []step{
 			{launch: true, want: Wait}, {at: ms(500), want: Wait}, {at: ms(1000), want: Fail, status: http.StatusGatewayTimeout},
 		}},
-		{"its own failure is passed on when nothing is left", once, []happening{
+		{"error response is delivered if no attempt is left", once, []step{
 			{launch: true, want: Wait}, {ended: outcome(Errored), want: Deliver},
 		}},
-		{"its own failure, repeated elsewhere", idempotent, []happening{
+		{"error response, retried on another replica", idempotent, []step{
 			{launch: true, want: Wait}, {ended: outcome(Errored), want: Launch}, {launch: true, want: Wait}, {ended: outcome(Errored), want: Deliver},
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := New(start, &c.route, 0)
-			for i, h := range c.life {
-				now := start.Add(h.at)
-				if h.launch {
+			for i, s := range c.steps {
+				now := start.Add(s.at)
+				if s.launch {
 					r.Launched(now)
 				}
-				if h.ended != nil {
-					r.Ended(*h.ended)
+				if s.ended != nil {
+					r.Ended(*s.ended)
 				}
-				if h.nobody {
+				if s.noEndpoint {
 					r.NoEndpoint()
 				}
 				got := r.Next(now)
-				if got.Action != h.want || got.Status != h.status || (got.RetryAfter > 0) != h.comeBack {
-					t.Fatalf("happening %d: %+v, should be %+v", i, got, h)
+				if got.Action != s.want || got.Status != s.status || (got.RetryAfter > 0) != s.retryAfter {
+					t.Fatalf("step %d: got %+v, want %+v", i, got, s)
 				}
 				if got.Action == Wait && !got.Until.After(now) {
-					t.Fatalf("happening %d: waits until %s, which is past", i, got.Until)
+					t.Fatalf("step %d: waits until %s, which is in the past", i, got.Until)
 				}
 			}
 		})
 	}
 }
 
-func TestDeadlineIsTheShorter(t *testing.T) {
+func TestShorterDeadlineApplies(t *testing.T) {
 	route := port.Route{Timeout: ms(1000)}
 	if got := New(start, &route, ms(300)).Left(start); got != ms(300) {
-		t.Errorf("%s left", got)
+		t.Errorf("%s left, want the shorter timeout", got)
 	}
 	if got := New(start, &route, ms(3000)).Left(start); got != ms(1000) {
-		t.Errorf("%s left", got)
+		t.Errorf("%s left, want the shorter timeout", got)
 	}
 }
 
-// TestEvacuatedReplicas: the refusal says why, and asks the caller to come back later than others do; a
-// request that may have run is not refused as one that did not.
-func TestEvacuatedReplicas(t *testing.T) {
+// If the remaining replicas are evacuated, the failure gives that reason and a longer Retry-After. A
+// request that may have run must not be answered with 503.
+func TestAllReplicasEvacuated(t *testing.T) {
 	route := port.Route{Kind: port.RouteNonIdempotent, MaxAttempts: 3, Timeout: ms(1000)}
 	for _, c := range []struct {
 		name   string
@@ -132,9 +132,9 @@
 		status int
 		after  time.Duration
 	}{
-		{"at once", nil, http.StatusServiceUnavailable, evacuatedRetryAfter},
-		{"after a replica turned it away", []Outcome{NotRun}, http.StatusServiceUnavailable, evacuatedRetryAfter},
-		{"after a replica broke off", []Outcome{NotRun, Broken}, http.StatusBadGateway, 0},
+		{"no attempt", nil, http.StatusServiceUnavailable, evacuatedRetryAfter},
+		{"after a refusal for load", []Outcome{NotRun}, http.StatusServiceUnavailable, evacuatedRetryAfter},
+		{"after a lost answer", []Outcome{NotRun, Broken}, http.StatusBadGateway, 0},
 	} {
 		r := New(start, &route, 0)
 		for _, one := range c.before {
