--- a/internal/connection/upstream/late_test.go
+++ b/internal/connection/upstream/late_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestLateCallsAreNotSent: a connection came up too late for the call, so no byte of it is written.
-func TestLateCallsAreNotSent(t *testing.T) {
+// A call whose deadline has passed while connecting must not be sent.
+func TestLateCallIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 	})
 	var failed *Error
 	if !errors.As(err, &failed) || failed.Sent || !errors.Is(err, errLate) {
-		t.Errorf("%v: a call that is late was not sent", err)
+		t.Errorf("got error %v, want errLate and nothing sent", err)
 	}
 	if count := <-read; count > 0 {
-		t.Error("a byte of it was written")
+		t.Error("the late call was written to the connection")
 	}
 }
--- a/internal/connection/upstream/refuses_test.go
+++ b/internal/connection/upstream/refuses_test.go
@@ -14,17 +14,17 @@
 	address := listener.Addr().String()
 	client := New()
 	if client.Refuses(context.Background(), address) {
-		t.Error("an address with a listener refuses nothing")
+		t.Error("Refuses is true for an address with a listener")
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !client.Refuses(context.Background(), address) {
-		t.Error("an address whose listener is gone refuses connections")
+		t.Error("Refuses is false for an address without a listener")
 	}
 	left, cancel := context.WithCancel(context.Background())
 	cancel()
 	if client.Refuses(left, address) {
-		t.Error("nothing is known of an address that was not asked")
+		t.Error("Refuses is true although the context was cancelled")
 	}
 }
--- a/internal/connection/upstream/silent_test.go
+++ b/internal/connection/upstream/silent_test.go
@@ -9,9 +9,9 @@
 	"github.com/doorstep/doorstep/platform/platformtest"
 )
 
-// TestSilentAddressLeavesTime: behind a cut link no connection comes up. The call ends with most of
-// its time left, and tells that nothing was sent.
-func TestSilentAddressLeavesTime(t *testing.T) {
+// If no connection can be established, the call fails early enough for another attempt and reports that
+// nothing was sent.
+func TestUnreachableAddressLeavesTime(t *testing.T) {
 	silent, err := platformtest.NewSilent()
 	if err != nil {
 		t.Fatal(err)
@@ -24,32 +24,31 @@
 	_, err = client.Do(ctx, &Call{Address: silent.Address, Method: "GET", Target: "/", Host: "h"})
 	var failed *Error
 	if !errors.As(err, &failed) || failed.Sent {
-		t.Fatalf("nothing was sent, told is %v", err)
+		t.Fatalf("got error %v, want one with nothing sent", err)
 	}
 	deadline, _ := ctx.Deadline()
 	if left := time.Until(deadline); left < 550*time.Millisecond {
-		t.Errorf("%s of 1.2 s are left for another replica", left)
+		t.Errorf("%s of 1.2 s left, want at least 550ms", left)
 	}
 }
 
-// TestDialWithin: calls with time to spare wait as long as ever.
-func TestDialWithin(t *testing.T) {
+func TestConnectTimeout(t *testing.T) {
 	client := New()
 	short, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 	defer cancel()
-	if got := client.dialWithin(short); got != dialTimeout {
-		t.Errorf("in one region a call of 0.9 s waits %s", got)
+	if got := client.connectTimeout(short); got != dialTimeout {
+		t.Errorf("single region, 0.9 s left: got %s", got)
 	}
 	client.SharesTime = true
-	if got := client.dialWithin(context.Background()); got != dialTimeout {
-		t.Errorf("without a deadline %s", got)
+	if got := client.connectTimeout(context.Background()); got != dialTimeout {
+		t.Errorf("without a deadline: got %s", got)
 	}
-	for left, want := range map[time.Duration]time.Duration{10 * time.Second: dialTimeout, 1200 * time.Millisecond: 400 * time.Millisecond, 90 * time.Millisecond: leastDial} {
+	for left, want := range map[time.Duration]time.Duration{10 * time.Second: dialTimeout, 1200 * time.Millisecond: 400 * time.Millisecond, 90 * time.Millisecond: minDialTimeout} {
 		ctx, cancel := context.WithTimeout(context.Background(), left)
-		got := client.dialWithin(ctx)
+		got := client.connectTimeout(ctx)
 		cancel()
 		if got > want || got < want-50*time.Millisecond {
-			t.Errorf("with %s left %s, should be %s", left, got, want)
+			t.Errorf("%s left: got %s, want %s", left, got, want)
 		}
 	}
 }
--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to replicas over connections of its own, so that
-// it is known of each attempt whether a byte of it left, whether the answer is the
-// request's own, and whether it came whole.
+// Package upstream sends requests to replicas over its own connections. For each attempt it reports
+// whether any byte was sent, whether the answer belongs to the request, and whether it was received
+// completely.
 package upstream
 
 import (
@@ -20,37 +20,36 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. With SharesTime a call with little time left
-	// gives it one part of it in dialParts, but no less than leastDial: what was not sent may be tried at
-	// another replica, and behind a cut link no connection comes up, however long one waits (the
-	// kernel asks again after a second). A caller that waits 1.2 s came to its second replica after
-	// 0.7 s, and did not come to a third; it comes there after 0.4 s and 0.67 s.
-	dialTimeout = 700 * time.Millisecond
-	dialParts   = 3
-	leastDial   = 150 * time.Millisecond
-	// refusalWithin bounds the wait for a connection to be refused: a round trip, and as much
-	// again for a busy machine.
-	refusalWithin = 100 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged.
+	// dialTimeout is the timeout for opening a connection. With SharesTime it is limited to the
+	// remaining time of the call divided by dialFraction, but not below minDialTimeout, so that an
+	// unreachable replica leaves time for attempts at others.
+	dialTimeout    = 700 * time.Millisecond
+	dialFraction   = 3
+	minDialTimeout = 150 * time.Millisecond
+	// refusalTimeout is how long Refuses waits for a connection to be refused: a round trip, and the
+	// same again for a busy machine.
+	refusalTimeout = 100 * time.Millisecond
+	// unackedTimeout is how long sent data may remain unacknowledged.
 	unackedTimeout = 2 * time.Second
-	// keepAliveIdle and keepAliveInterval find peers that fell silent.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure the TCP keepalive, which detects
+	// unresponsive peers.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// idleDefault is how long an idle connection is kept where the replica says
-	// nothing, idleMargin is taken off what it says.
-	idleDefault = 20 * time.Second
-	idleMargin  = 500 * time.Millisecond
-	// inlineBody is the largest body written before the answer is awaited.
-	inlineBody = 16 << 10
-	// surplusBound is how much of an answer that belongs to no request is read.
-	surplusBound = 64 << 10
-	// tcpUserTimeout is the option's number on Linux.
+	// defaultIdleTimeout is how long an idle connection is kept if the replica does not specify a
+	// timeout. idleMargin is subtracted from a specified timeout.
+	defaultIdleTimeout = 20 * time.Second
+	idleMargin         = 500 * time.Millisecond
+	// maxInlineBody is the largest body written before the answer is read.
+	maxInlineBody = 16 << 10
+	// maxSurplusBody is the largest body of a mismatched answer that is drained.
+	maxSurplusBody = 64 << 10
+	// tcpUserTimeout is the TCP_USER_TIMEOUT socket option on Linux.
 	tcpUserTimeout = 18
 )
 
-// Error is a failed attempt. Sent tells whether a byte of the request may have
-// reached the replica; if not, the request did not run.
+// Error is a failed attempt. Sent tells whether any byte of the request may have reached the replica;
+// if not, the request did not run.
 type Error struct {
 	Sent bool
 	Err  error
@@ -61,11 +60,11 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// errForeignAnswer says that an answer carried no or another request's id.
-var errForeignAnswer = errors.New("the answer belongs to another request")
+// errMismatchedAnswer is returned if an answer has no request ID or that of another request.
+var errMismatchedAnswer = errors.New("answer has a missing or mismatched request ID")
 
-// errLate says that a call was not sent, as its time was over.
-var errLate = errors.New("it was too late to send the call")
+// errLate is returned if a call was not sent because its deadline had passed.
+var errLate = errors.New("deadline passed before the call was sent")
 
 // Call is one attempt.
 type Call struct {
@@ -75,27 +74,28 @@
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// ID must come back in the answer; empty demands nothing.
+	// ID is the request ID expected in the answer; empty disables the check.
 	ID string
-	// IDOf reads the id of an answer.
+	// IDOf returns the request ID of an answer.
 	IDOf func(http.Header) string
-	// Late, unless nil, reports right before the first byte is written whether it is too late for the
-	// call: then it is not sent.
+	// Late, if set, is called right before the first byte is written and reports whether it is too late
+	// to send the call.
 	Late func() bool
 }
 
-// Client keeps connections to replicas.
+// Client is a pool of connections to replicas.
 type Client struct {
-	// OnConnect, unless nil, is told how long it took to open each connection for a call. It is set
-	// before use.
+	// OnConnect, if set, is called with the time it took to open each connection for a call. It must be
+	// set before use.
 	OnConnect func(address string, took time.Duration)
-	// SharesTime is set, before use, where whole regions may be cut off: a call leaves most of its time
-	// for another replica if no connection comes up.
+	// SharesTime limits the time for opening a connection so that most of a call's time remains for
+	// other replicas. It must be set before use. Multi-region deployments use it because whole regions
+	// can become unreachable.
 	SharesTime bool
 
-	mu    sync.Mutex
-	idle  map[string][]*connection
-	opens uint64
+	mu     sync.Mutex
+	idle   map[string][]*connection
+	opened uint64
 }
 
 // New returns a client without connections.
@@ -108,21 +108,21 @@
 	idleUntil time.Time
 }
 
-// Answer is a replica's answer whose body is still to be read.
+// Answer is a replica's answer whose body has yet to be read.
 type Answer struct {
-	Status int
-	Header http.Header
-	body   io.ReadCloser
-	client *Client
-	conn   *connection
-	reuse  bool
-	stop   func() bool
-	writes chan error
-	whole  bool
+	Status      int
+	Header      http.Header
+	body        io.ReadCloser
+	client      *Client
+	conn        *connection
+	reuse       bool
+	stop        func() bool
+	bodyWritten chan error
+	whole       bool
 }
 
-// Do sends a call and reads the head of its answer. The context bounds the whole
-// exchange: its end closes the connection, which cancels the request.
+// Do sends a call and reads the header of its answer. The context covers the whole exchange: when it
+// ends, the connection is closed, which cancels the request.
 func (c *Client) Do(ctx context.Context, call *Call) (*Answer, error) {
 	conn, err := c.connect(ctx, call.Address)
 	if err != nil {
@@ -162,34 +162,34 @@
 			return nil, err
 		}
 		if call.IDOf(response.Header) != call.ID {
-			return nil, errForeignAnswer
+			return nil, errMismatchedAnswer
 		}
 	}
 	return &Answer{
-		Status: response.StatusCode, Header: response.Header, body: response.Body, client: c, conn: conn, writes: writes,
+		Status: response.StatusCode, Header: response.Header, body: response.Body, client: c, conn: conn, bodyWritten: writes,
 		reuse: !response.Close && framed(response),
 	}, nil
 }
 
-// framed reports whether the answer's end is told by its head rather than by the
-// end of the connection.
+// framed reports whether the end of the answer is determined by its header rather than by the end of
+// the connection.
 func framed(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// nextAnswer drops one surplus answer and reads the one behind it.
+// nextAnswer discards one mismatched answer and reads the next one.
 func nextAnswer(conn *connection, surplus *http.Response, request *http.Request) (*http.Response, error) {
 	if surplus.Close || !framed(surplus) {
-		return nil, errForeignAnswer
+		return nil, errMismatchedAnswer
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(surplus.Body, surplusBound)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(surplus.Body, maxSurplusBody)); err != nil {
 		return nil, err
 	}
 	return http.ReadResponse(conn.reader, request)
 }
 
-// write sends the head and a small body; a large one is sent beside the reading of
-// the answer, which may come early.
+// write sends the header and a small body. A large body is written concurrently with reading the
+// answer, which may arrive early.
 func write(conn *connection, call *Call) (chan error, error) {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", call.Method, call.Target, call.Host)
@@ -200,7 +200,7 @@
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(call.Body))
 	}
 	head.WriteString("\r\n")
-	if len(call.Body) <= inlineBody {
+	if len(call.Body) <= maxInlineBody {
 		head.Write(call.Body)
 		_, err := conn.Write(head.Bytes())
 		return nil, err
@@ -216,8 +216,7 @@
 	return writes, nil
 }
 
-// Read implements io.Reader over the body; io.EOF is returned only when the body
-// came whole.
+// Read implements io.Reader for the body. It returns io.EOF only if the body was received completely.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
@@ -226,13 +225,13 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept when the answer came whole.
+// Close ends the exchange. The connection is kept for reuse if the answer was received completely.
 func (a *Answer) Close() {
 	a.stop()
 	written := true
-	if a.writes != nil {
+	if a.bodyWritten != nil {
 		select {
-		case err := <-a.writes:
+		case err := <-a.bodyWritten:
 			written = err == nil
 		default:
 			written = false
@@ -245,10 +244,10 @@
 	_ = a.conn.Close()
 }
 
-// Refuses reports whether nothing listens at an address: the connection is refused. One that is
-// silent is not known to be gone.
+// Refuses reports whether connections to an address are refused, as nothing listens there. An address
+// that does not respond does not count as refusing.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, refusalWithin)
+	ctx, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
 	opened, err := c.dial(ctx, address)
 	if err != nil {
@@ -264,7 +263,7 @@
 		if conn == nil {
 			break
 		}
-		if time.Now().Before(conn.idleUntil) && quiet(conn.Conn) {
+		if time.Now().Before(conn.idleUntil) && isIdle(conn.Conn) {
 			return conn, nil
 		}
 		_ = conn.Close()
@@ -282,23 +281,23 @@
 
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
 	c.mu.Lock()
-	c.opens++
+	c.opened++
 	c.mu.Unlock()
 	dialer := net.Dialer{
-		Timeout:         c.dialWithin(ctx),
+		Timeout:         c.connectTimeout(ctx),
 		Control:         setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// dialWithin returns how long a connection may take to come up.
-func (c *Client) dialWithin(ctx context.Context) time.Duration {
+// connectTimeout returns the timeout for opening a connection.
+func (c *Client) connectTimeout(ctx context.Context) time.Duration {
 	deadline, bounded := ctx.Deadline()
 	if !bounded || !c.SharesTime {
 		return dialTimeout
 	}
-	return min(dialTimeout, max(time.Until(deadline)/dialParts, leastDial))
+	return min(dialTimeout, max(time.Until(deadline)/dialFraction, minDialTimeout))
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
@@ -307,8 +306,8 @@
 	})
 }
 
-// quiet reports whether an idle connection is open and holds no unasked bytes.
-func quiet(conn net.Conn) bool {
+// isIdle reports whether an idle connection is still open and has no unread data.
+func isIdle(conn net.Conn) bool {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
@@ -336,14 +335,14 @@
 }
 
 func (c *Client) keep(conn *connection, header http.Header) {
-	conn.idleUntil = time.Now().Add(idleTime(header))
+	conn.idleUntil = time.Now().Add(idleTimeout(header))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle[conn.address] = append(c.idle[conn.address], conn)
 }
 
-// idleTime reads the replica's Keep-Alive header.
-func idleTime(header http.Header) time.Duration {
+// idleTimeout returns the timeout from the replica's Keep-Alive header.
+func idleTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
@@ -351,21 +350,21 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// Idle returns how many connections to an address lie idle.
+// Idle returns the number of idle connections to an address.
 func (c *Client) Idle(address string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idle[address])
 }
 
-// Opened returns how many connections were opened.
+// Opened returns the total number of connections opened.
 func (c *Client) Opened() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.opens
+	return c.opened
 }
 
 // Forget closes the idle connections to an address.
@@ -379,7 +378,7 @@
 	}
 }
 
-// Prune closes idle connections whose time is over.
+// Prune closes idle connections whose timeout has expired.
 func (c *Client) Prune(now time.Time) {
 	var gone []*connection
 	c.mu.Lock()
