--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -87,8 +87,8 @@
 }
 
 // WithheldReplicas counts the replicas that get no new work, by the reason.
-func (n *Node) WithheldReplicas() map[endpoint.Withheld]int {
-	counts := map[endpoint.Withheld]int{}
+func (n *Node) WithheldReplicas() map[endpoint.UnschedulableReason]int {
+	counts := map[endpoint.UnschedulableReason]int{}
 	for _, e := range n.endpoints.All() {
 		if reason := e.Withheld(); reason != endpoint.NotWithheld {
 			counts[reason]++
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Withheld is the reason why an endpoint gets no new work. All sends to replicas check it through the
+// UnschedulableReason is the reason why an endpoint gets no new work. All sends to replicas check it through the
 // NotDraining filter.
-type Withheld string
+type UnschedulableReason string
 
 // The reasons in order of precedence.
 const (
 	// NotWithheld endpoints accept new work.
-	NotWithheld Withheld = ""
+	NotWithheld UnschedulableReason = ""
 	// WithheldLeaving endpoints are draining according to their own record.
-	WithheldLeaving Withheld = "leaving"
+	WithheldLeaving UnschedulableReason = "leaving"
 	// WithheldDrained endpoints are drained by an operator, individually or by zone.
-	WithheldDrained Withheld = "drained"
+	WithheldDrained UnschedulableReason = "drained"
 	// WithheldEvacuated endpoints are in an evacuated zone.
-	WithheldEvacuated Withheld = "evacuated"
+	WithheldEvacuated UnschedulableReason = "evacuated"
 )
 
-// Withheld returns the reason why the endpoint gets no new work.
-func (e *Endpoint) Withheld() Withheld {
+// UnschedulableReason returns the reason why the endpoint gets no new work.
+func (e *Endpoint) Withheld() UnschedulableReason {
 	switch {
 	case e.Draining:
 		return WithheldLeaving
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -12,7 +12,7 @@
 	for _, c := range []struct {
 		name   string
 		change func(e *Endpoint)
-		want   Withheld
+		want   UnschedulableReason
 	}{
 		{"usable", func(*Endpoint) {}, NotWithheld},
 		{"draining", func(e *Endpoint) { e.Draining = true }, WithheldLeaving},
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -143,7 +143,7 @@
 const evacuatedLoads = 0.5
 
 // withheldAs returns the replicas that get no new work for a reason.
-func withheldAs(members []*endpoint.Endpoint, reason endpoint.Withheld) []*endpoint.Endpoint {
+func withheldAs(members []*endpoint.Endpoint, reason endpoint.UnschedulableReason) []*endpoint.Endpoint {
 	return slices.DeleteFunc(slices.Clone(members), func(e *endpoint.Endpoint) bool { return e.Withheld() != reason })
 }
 
