--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -74,7 +74,7 @@
 	homes, evacuated := n.Homes(route, tenant), false
 	for _, backend := range route.Backends {
 		for _, e := range within(homes, n.endpoints.Service(backend.Service)) {
-			switch e.Withheld() {
+			switch e.UnschedulableReason() {
 			case endpoint.NotWithheld:
 				return false
 			case endpoint.WithheldEvacuated:
@@ -90,7 +90,7 @@
 func (n *Node) WithheldReplicas() map[endpoint.UnschedulableReason]int {
 	counts := map[endpoint.UnschedulableReason]int{}
 	for _, e := range n.endpoints.All() {
-		if reason := e.Withheld(); reason != endpoint.NotWithheld {
+		if reason := e.UnschedulableReason(); reason != endpoint.NotWithheld {
 			counts[reason]++
 		}
 	}
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -19,7 +19,7 @@
 )
 
 // UnschedulableReason returns the reason why the endpoint gets no new work.
-func (e *Endpoint) Withheld() UnschedulableReason {
+func (e *Endpoint) UnschedulableReason() UnschedulableReason {
 	switch {
 	case e.Draining:
 		return WithheldLeaving
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -23,7 +23,7 @@
 	} {
 		e := newEndpoint("e")
 		c.change(e)
-		if got := e.Withheld(); got != c.want || e.Leaving() != (c.want != NotWithheld) {
+		if got := e.UnschedulableReason(); got != c.want || e.Leaving() != (c.want != NotWithheld) {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 		for name, profile := range map[string]*Profile{"requests": &Requests, "rollouts": &Rollouts, "long": &LongRollouts, "scoring": &ScoringCalls} {
@@ -66,7 +66,7 @@
 		slow.LearnPace(now, 80*time.Millisecond)
 		withhold(fast)
 		if got := poolOf(fast, slow).BestPace(now, port.Homes{}); got != 80*time.Millisecond {
-			t.Errorf("best pace %s includes an endpoint that is %s", got, fast.Withheld())
+			t.Errorf("best pace %s includes an endpoint that is %s", got, fast.UnschedulableReason())
 		}
 	}
 }
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -144,7 +144,7 @@
 
 // withheldAs returns the replicas that get no new work for a reason.
 func withheldAs(members []*endpoint.Endpoint, reason endpoint.UnschedulableReason) []*endpoint.Endpoint {
-	return slices.DeleteFunc(slices.Clone(members), func(e *endpoint.Endpoint) bool { return e.Withheld() != reason })
+	return slices.DeleteFunc(slices.Clone(members), func(e *endpoint.Endpoint) bool { return e.UnschedulableReason() != reason })
 }
 
 // orderLoads orders the loads that replicas want while fewer than so many are under way, and
