--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -33,7 +33,7 @@
 		known.Held = configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
 			configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, one.Zone)
 		state := "ready"
-		if reason := known.UnschedulableReason(); reason != endpoint.NotWithheld {
+		if reason := known.UnschedulableReason(); reason != endpoint.Schedulable {
 			state = string(reason)
 		} else if one.ColdFor > 0 {
 			state = "cold"
--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -75,7 +75,7 @@
 	for _, backend := range route.Backends {
 		for _, e := range within(homes, n.endpoints.Service(backend.Service)) {
 			switch e.UnschedulableReason() {
-			case endpoint.NotWithheld:
+			case endpoint.Schedulable:
 				return false
 			case endpoint.WithheldEvacuated:
 				evacuated = true
@@ -90,7 +90,7 @@
 func (n *Node) WithheldReplicas() map[endpoint.UnschedulableReason]int {
 	counts := map[endpoint.UnschedulableReason]int{}
 	for _, e := range n.endpoints.All() {
-		if reason := e.UnschedulableReason(); reason != endpoint.NotWithheld {
+		if reason := e.UnschedulableReason(); reason != endpoint.Schedulable {
 			counts[reason]++
 		}
 	}
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -228,4 +228,4 @@
 }
 
 // Leaving reports whether the endpoint gets no new work for any reason.
-func (e *Endpoint) Leaving() bool { return e.UnschedulableReason() != NotWithheld }
+func (e *Endpoint) Leaving() bool { return e.UnschedulableReason() != Schedulable }
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -8,8 +8,8 @@
 
 // The reasons in order of precedence.
 const (
-	// NotWithheld endpoints accept new work.
-	NotWithheld UnschedulableReason = ""
+	// Schedulable endpoints accept new work.
+	Schedulable UnschedulableReason = ""
 	// WithheldLeaving endpoints are draining according to their own record.
 	WithheldLeaving UnschedulableReason = "leaving"
 	// WithheldDrained endpoints are drained by an operator, individually or by zone.
@@ -28,7 +28,7 @@
 	case e.Evacuated:
 		return WithheldEvacuated
 	}
-	return NotWithheld
+	return Schedulable
 }
 
 // SetEvacuated updates whether the endpoint's zone is evacuated.
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -14,22 +14,22 @@
 		change func(e *Endpoint)
 		want   UnschedulableReason
 	}{
-		{"usable", func(*Endpoint) {}, NotWithheld},
+		{"usable", func(*Endpoint) {}, Schedulable},
 		{"draining", func(e *Endpoint) { e.Draining = true }, WithheldLeaving},
 		{"drained by an operator", func(e *Endpoint) { e.Held = true }, WithheldDrained},
 		{"in an evacuated zone", func(e *Endpoint) { e.SetEvacuated(now, true) }, WithheldEvacuated},
 		{"draining in an evacuated zone", func(e *Endpoint) { e.Draining = true; e.SetEvacuated(now, true) }, WithheldLeaving},
-		{"evacuation ended", func(e *Endpoint) { e.SetEvacuated(now, true); e.SetEvacuated(now, false) }, NotWithheld},
+		{"evacuation ended", func(e *Endpoint) { e.SetEvacuated(now, true); e.SetEvacuated(now, false) }, Schedulable},
 	} {
 		e := newEndpoint("e")
 		c.change(e)
-		if got := e.UnschedulableReason(); got != c.want || e.Leaving() != (c.want != NotWithheld) {
+		if got := e.UnschedulableReason(); got != c.want || e.Leaving() != (c.want != Schedulable) {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 		for name, profile := range map[string]*Profile{"requests": &Requests, "rollouts": &Rollouts, "long": &LongRollouts, "scoring": &ScoringCalls} {
 			// AllowEjected admits ejected endpoints but not those that get no new work.
 			query := &Query{Now: now, Model: "m", Room: 1.5, AllowEjected: true, Prefer: "e"}
-			if got := profile.Pick(query, []*Endpoint{e}) != nil; got != (c.want == NotWithheld) {
+			if got := profile.Pick(query, []*Endpoint{e}) != nil; got != (c.want == Schedulable) {
 				t.Errorf("%s: eligible for %s: %t", c.name, name, got)
 			}
 		}
