--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -10,8 +10,8 @@
 const (
 	// Schedulable endpoints accept new work.
 	Schedulable UnschedulableReason = ""
-	// WithheldLeaving endpoints are draining according to their own record.
-	WithheldLeaving UnschedulableReason = "leaving"
+	// UnschedulableLeaving endpoints are draining according to their own record.
+	UnschedulableLeaving UnschedulableReason = "leaving"
 	// WithheldDrained endpoints are drained by an operator, individually or by zone.
 	WithheldDrained UnschedulableReason = "drained"
 	// WithheldEvacuated endpoints are in an evacuated zone.
@@ -22,7 +22,7 @@
 func (e *Endpoint) UnschedulableReason() UnschedulableReason {
 	switch {
 	case e.Draining:
-		return WithheldLeaving
+		return UnschedulableLeaving
 	case e.Held:
 		return WithheldDrained
 	case e.Evacuated:
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -15,10 +15,10 @@
 		want   UnschedulableReason
 	}{
 		{"usable", func(*Endpoint) {}, Schedulable},
-		{"draining", func(e *Endpoint) { e.Draining = true }, WithheldLeaving},
+		{"draining", func(e *Endpoint) { e.Draining = true }, UnschedulableLeaving},
 		{"drained by an operator", func(e *Endpoint) { e.Held = true }, WithheldDrained},
 		{"in an evacuated zone", func(e *Endpoint) { e.SetEvacuated(now, true) }, WithheldEvacuated},
-		{"draining in an evacuated zone", func(e *Endpoint) { e.Draining = true; e.SetEvacuated(now, true) }, WithheldLeaving},
+		{"draining in an evacuated zone", func(e *Endpoint) { e.Draining = true; e.SetEvacuated(now, true) }, UnschedulableLeaving},
 		{"evacuation ended", func(e *Endpoint) { e.SetEvacuated(now, true); e.SetEvacuated(now, false) }, Schedulable},
 	} {
 		e := newEndpoint("e")
