--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -79,7 +79,7 @@
 				return false
 			case endpoint.WithheldEvacuated:
 				evacuated = true
-			case endpoint.UnschedulableLeaving, endpoint.WithheldDrained:
+			case endpoint.UnschedulableLeaving, endpoint.UnschedulableDrained:
 			}
 		}
 	}
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -12,8 +12,8 @@
 	Schedulable UnschedulableReason = ""
 	// UnschedulableLeaving endpoints are draining according to their own record.
 	UnschedulableLeaving UnschedulableReason = "leaving"
-	// WithheldDrained endpoints are drained by an operator, individually or by zone.
-	WithheldDrained UnschedulableReason = "drained"
+	// UnschedulableDrained endpoints are drained by an operator, individually or by zone.
+	UnschedulableDrained UnschedulableReason = "drained"
 	// WithheldEvacuated endpoints are in an evacuated zone.
 	WithheldEvacuated UnschedulableReason = "evacuated"
 )
@@ -24,7 +24,7 @@
 	case e.Draining:
 		return UnschedulableLeaving
 	case e.Held:
-		return WithheldDrained
+		return UnschedulableDrained
 	case e.Evacuated:
 		return WithheldEvacuated
 	}
