--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -139,7 +139,7 @@
 
 // registerWithheld tells how many replicas get no new work, for each reason.
 func (m *metrics) registerWithheld(a *Agent) {
-	for _, reason := range []endpoint.UnschedulableReason{endpoint.UnschedulableLeaving, endpoint.UnschedulableDrained, endpoint.WithheldEvacuated} {
+	for _, reason := range []endpoint.UnschedulableReason{endpoint.UnschedulableLeaving, endpoint.UnschedulableDrained, endpoint.UnschedulableEvacuated} {
 		options := prometheus.GaugeOpts{
 			Name: "doorstep_replicas_withheld", Help: "Replicas that get no new work, by the reason.",
 			ConstLabels: prometheus.Labels{"reason": string(reason)},
--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -77,7 +77,7 @@
 			switch e.UnschedulableReason() {
 			case endpoint.Schedulable:
 				return false
-			case endpoint.WithheldEvacuated:
+			case endpoint.UnschedulableEvacuated:
 				evacuated = true
 			case endpoint.UnschedulableLeaving, endpoint.UnschedulableDrained:
 			}
--- a/internal/process/cluster/evacuation_test.go
+++ b/internal/process/cluster/evacuation_test.go
@@ -222,7 +222,7 @@
 	n := newZonedNode()
 	n.onDeployment(start, "replicas", records("replicas", "a/1"), true)
 	n.onDeployment(start, "operator", records("operator", "-a", "a"), false)
-	if n.endpoints.Find("a/1").UnschedulableReason() != endpoint.WithheldEvacuated {
+	if n.endpoints.Find("a/1").UnschedulableReason() != endpoint.UnschedulableEvacuated {
 		t.Error("a zone that is evacuated anew is evacuated")
 	}
 }
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -14,8 +14,8 @@
 	UnschedulableLeaving UnschedulableReason = "leaving"
 	// UnschedulableDrained endpoints are drained by an operator, individually or by zone.
 	UnschedulableDrained UnschedulableReason = "drained"
-	// WithheldEvacuated endpoints are in an evacuated zone.
-	WithheldEvacuated UnschedulableReason = "evacuated"
+	// UnschedulableEvacuated endpoints are in an evacuated zone.
+	UnschedulableEvacuated UnschedulableReason = "evacuated"
 )
 
 // UnschedulableReason returns the reason why the endpoint gets no new work.
@@ -26,7 +26,7 @@
 	case e.Held:
 		return UnschedulableDrained
 	case e.Evacuated:
-		return WithheldEvacuated
+		return UnschedulableEvacuated
 	}
 	return Schedulable
 }
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -17,7 +17,7 @@
 		{"usable", func(*Endpoint) {}, Schedulable},
 		{"draining", func(e *Endpoint) { e.Draining = true }, UnschedulableLeaving},
 		{"drained by an operator", func(e *Endpoint) { e.Held = true }, UnschedulableDrained},
-		{"in an evacuated zone", func(e *Endpoint) { e.SetEvacuated(now, true) }, WithheldEvacuated},
+		{"in an evacuated zone", func(e *Endpoint) { e.SetEvacuated(now, true) }, UnschedulableEvacuated},
 		{"draining in an evacuated zone", func(e *Endpoint) { e.Draining = true; e.SetEvacuated(now, true) }, UnschedulableLeaving},
 		{"evacuation ended", func(e *Endpoint) { e.SetEvacuated(now, true); e.SetEvacuated(now, false) }, Schedulable},
 	} {
--- a/internal/version/rollout/evacuation_test.go
+++ b/internal/version/rollout/evacuation_test.go
@@ -78,7 +78,7 @@
 	for _, e := range list[:16] {
 		e.Evacuated = true
 	}
-	serving, evacuated := withheldAs(list, endpoint.Schedulable), withheldAs(list, endpoint.WithheldEvacuated)
+	serving, evacuated := withheldAs(list, endpoint.Schedulable), withheldAs(list, endpoint.UnschedulableEvacuated)
 	g.assign(serving, targets, nil)
 	g.join(evacuated, targets, nil)
 	counts := map[string]int{}
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -109,7 +109,7 @@
 func (r *Rollout) tickService(now time.Time, service string, members []*endpoint.Endpoint, demand map[string]int64) {
 	limit := r.limit(service)
 	loading := r.follow(now, members, limit)
-	serving, evacuated := withheldAs(members, endpoint.Schedulable), withheldAs(members, endpoint.WithheldEvacuated)
+	serving, evacuated := withheldAs(members, endpoint.Schedulable), withheldAs(members, endpoint.UnschedulableEvacuated)
 	dealt := serving
 	if len(serving) == 0 {
 		// Whether there are enough for groups goes by those that come back.
