--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -158,7 +158,7 @@
 	if pool == nil {
 		return ""
 	}
-	if before := n.endpoints.Find(use.origins[service]); before != nil && !before.Leaving() {
+	if before := n.endpoints.Find(use.origins[service]); before != nil && !before.Unschedulable() {
 		return before.ID
 	}
 	first := pool.First(n.options.Name)
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -227,5 +227,5 @@
 	e.loadReportedAt = now
 }
 
-// Leaving reports whether the endpoint gets no new work for any reason.
-func (e *Endpoint) Leaving() bool { return e.UnschedulableReason() != Schedulable }
+// Unschedulable reports whether the endpoint gets no new work for any reason.
+func (e *Endpoint) Unschedulable() bool { return e.UnschedulableReason() != Schedulable }
--- a/internal/process/endpoint/incarnation_test.go
+++ b/internal/process/endpoint/incarnation_test.go
@@ -51,7 +51,7 @@
 			if e.Versions["m"] != c.version {
 				t.Errorf("version %d, want %d", e.Versions["m"], c.version)
 			}
-			if c.fresh && (e.InFlight != 0 || e.Tokens != 0 || e.Pace(now) != 0 || e.Ejected(now) || !first.Leaving()) {
+			if c.fresh && (e.InFlight != 0 || e.Tokens != 0 || e.Pace(now) != 0 || e.Ejected(now) || !first.Unschedulable()) {
 				t.Errorf("the new incarnation inherited state: %+v", e)
 			}
 			if listed := len(registry.Service("s")) + len(registry.Service("t")); listed != 1 {
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -100,7 +100,7 @@
 )
 
 // NotDraining drops endpoints that get no new work.
-func NotDraining(_ *Query, e *Endpoint) bool { return !e.Leaving() }
+func NotDraining(_ *Query, e *Endpoint) bool { return !e.Unschedulable() }
 
 // NotExcluded drops endpoints that the request has already been sent to.
 func NotExcluded(q *Query, e *Endpoint) bool { return !q.Exclude[e.ID] }
--- a/internal/process/endpoint/pool.go
+++ b/internal/process/endpoint/pool.go
@@ -47,7 +47,7 @@
 func (p *Pool) First(name string) *Endpoint {
 	var first *Endpoint
 	p.all.walk(ringPosition(name), func(e *Endpoint) bool {
-		if !e.Leaving() {
+		if !e.Unschedulable() {
 			first = e
 		}
 		return first == nil
@@ -155,7 +155,7 @@
 			e.paceTracked = false
 			return true
 		}
-		if (best == 0 || pace < best) && !e.Leaving() && !e.Ejected(now) && homes.Allow(e.Region) {
+		if (best == 0 || pace < best) && !e.Unschedulable() && !e.Ejected(now) && homes.Allow(e.Region) {
 			best = pace
 		}
 		return false
@@ -188,7 +188,7 @@
 			}
 			taken[e] = true
 			set = append(set, e)
-			if !e.Leaving() {
+			if !e.Unschedulable() {
 				left.Slots -= max(e.Slots, 1)
 				left.Endpoints--
 			}
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -23,7 +23,7 @@
 	} {
 		e := newEndpoint("e")
 		c.change(e)
-		if got := e.UnschedulableReason(); got != c.want || e.Leaving() != (c.want != Schedulable) {
+		if got := e.UnschedulableReason(); got != c.want || e.Unschedulable() != (c.want != Schedulable) {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 		for name, profile := range map[string]*Profile{"requests": &Requests, "rollouts": &Rollouts, "long": &LongRollouts, "scoring": &ScoringCalls} {
