--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -75,12 +75,12 @@
 // calls, which leave capacity for callers' requests.
 var (
 	Requests = Profile{
-		filters:     []Filter{NotDraining, InHomes, NotExcluded, NotEjected, VersionReached},
+		filters:     []Filter{IsSchedulable, InHomes, NotExcluded, NotEjected, VersionReached},
 		scorers:     []weightedScorer{{LeastLoad, 4}, {Fast, 2}, {Near, 1}},
 		lowestDelay: true,
 	}
 	Rollouts = Profile{
-		filters: []Filter{NotDraining, InHomes, NotExcluded, NotEjected, VersionReached, NotLoading, HasRoom},
+		filters: []Filter{IsSchedulable, InHomes, NotExcluded, NotEjected, VersionReached, NotLoading, HasRoom},
 		scorers: []weightedScorer{{LeastLoad, 4}, {Leisurely, 4}, {Preferred, 3}, {FreeSlot, 3}, {FreeMemory, 4}, {Near, 0.5}},
 	}
 	LongRollouts = Profile{
@@ -99,8 +99,8 @@
 	}
 )
 
-// NotDraining drops endpoints that get no new work.
-func NotDraining(_ *Query, e *Endpoint) bool { return !e.Unschedulable() }
+// IsSchedulable drops endpoints that get no new work.
+func IsSchedulable(_ *Query, e *Endpoint) bool { return !e.Unschedulable() }
 
 // NotExcluded drops endpoints that the request has already been sent to.
 func NotExcluded(q *Query, e *Endpoint) bool { return !q.Exclude[e.ID] }
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -3,7 +3,7 @@
 import "time"
 
 // UnschedulableReason is the reason why an endpoint gets no new work. All sends to replicas check it through the
-// NotDraining filter.
+// IsSchedulable filter.
 type UnschedulableReason string
 
 // The reasons in order of precedence.
