--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -30,7 +30,7 @@
 	var rows [][]string
 	for _, one := range deployment.Replicas {
 		known := endpoint.Endpoint{ReplicaRecord: one, Evacuated: evacuated[one.Zone]}
-		known.Held = configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
+		known.OperatorDrained = configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
 			configuration.Drained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, one.Zone)
 		state := "ready"
 		if reason := known.UnschedulableReason(); reason != endpoint.Schedulable {
--- a/internal/process/cluster/lapse.go
+++ b/internal/process/cluster/lapse.go
@@ -70,7 +70,7 @@
 // putReplica notes that a replica's record stands again.
 func (n *Node) putReplica(now time.Time, put endpoint.Change) {
 	delete(n.lapses.kept, put.Endpoint.ID)
-	put.Endpoint.Held = n.holds(put.Endpoint)
+	put.Endpoint.OperatorDrained = n.holds(put.Endpoint)
 	put.Endpoint.SetEvacuated(now, n.evacuated[put.Endpoint.Zone])
 	put.Endpoint.Region = n.options.Topology.RegionOf(put.Endpoint.Zone)
 	n.noteReplica(now, put)
--- a/internal/process/cluster/operators.go
+++ b/internal/process/cluster/operators.go
@@ -30,7 +30,7 @@
 	n.operators = decoded
 	n.queue.Log(event.ConfigurationHeld, "revision", decoded.Revision, "experiments", len(decoded.Experiments), "drains", len(decoded.Drains))
 	for _, e := range n.endpoints.All() {
-		e.Held = n.holds(e)
+		e.OperatorDrained = n.holds(e)
 	}
 	n.quarantine.Lift(now, configuration.Lifts(decoded))
 	n.drain(now)
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -164,7 +164,7 @@
 	}{
 		{"nothing bars it", func(*endpoint.Endpoint, *batch.Placement) {}, "fast"},
 		{"it leaves", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Draining = true }, "slow"},
-		{"drained", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Held = true }, "slow"},
+		{"drained", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.OperatorDrained = true }, "slow"},
 		{"its zone is evacuated", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetEvacuated(start, true) }, "slow"},
 		{"cold", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.ColdUntil = start.Add(time.Second) }, "slow"},
 		{"ejected", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Failed(start); fast.Failed(start) }, "slow"},
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -44,8 +44,8 @@
 	UsedAt time.Time
 	// Region is the region of the endpoint's zone, empty if unknown.
 	Region string
-	// Held is set while an operator drains the endpoint or its zone.
-	Held bool
+	// OperatorDrained is set while an operator drains the endpoint or its zone.
+	OperatorDrained bool
 	// Evacuated is set while the endpoint's zone is evacuated. EvacuatedUntil is when this node
 	// observed the end of the evacuation, otherwise zero; the replica may have gone cold in the
 	// meantime.
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -79,7 +79,7 @@
 	if got := registry.Pool("s").BestPace(now, port.Homes{}); got != 40*time.Millisecond {
 		t.Errorf("best pace %s", got)
 	}
-	registry.Find("idle").Held = true
+	registry.Find("idle").OperatorDrained = true
 	if got := registry.Pool("s").BestPace(now, port.Homes{}); got != 80*time.Millisecond {
 		t.Errorf("best pace %s includes an endpoint that gets no new work", got)
 	}
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -81,7 +81,7 @@
 		{"no endpoint has the version", func(*Registry, *Pool) {}, func(q *Query) { q.MinVersion = 2 }, 0},
 		{"no endpoint gets new work", func(_ *Registry, pool *Pool) {
 			for _, e := range pool.All() {
-				e.Held = true
+				e.OperatorDrained = true
 			}
 		}, func(*Query) {}, 2 * maxMisses},
 		{"some endpoints are full", func(_ *Registry, pool *Pool) {
@@ -108,7 +108,7 @@
 func TestWhatOneWalkMissesOthersFind(t *testing.T) {
 	_, pool := newTestPool(9625)
 	for _, e := range pool.All() {
-		e.Held = e != pool.All()[4711]
+		e.OperatorDrained = e != pool.All()[4711]
 	}
 	q := itemQuery(1)
 	for q.Rotation = 0; q.Rotation < 400; q.Rotation++ {
@@ -202,7 +202,7 @@
 	if len(after) != len(set) || len(fresh) != 1 {
 		t.Errorf("%d of %d endpoints are new after one was removed", len(fresh), len(after))
 	}
-	after[3].Held = true
+	after[3].OperatorDrained = true
 	if held := pool.WorkingSet(needs); len(held) != len(after)+1 {
 		t.Errorf("%d endpoints including one that gets no new work, want %d", len(held), len(after)+1)
 	}
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -23,7 +23,7 @@
 	switch {
 	case e.Draining:
 		return UnschedulableLeaving
-	case e.Held:
+	case e.OperatorDrained:
 		return UnschedulableDrained
 	case e.Evacuated:
 		return UnschedulableEvacuated
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -16,7 +16,7 @@
 	}{
 		{"usable", func(*Endpoint) {}, Schedulable},
 		{"draining", func(e *Endpoint) { e.Draining = true }, UnschedulableLeaving},
-		{"drained by an operator", func(e *Endpoint) { e.Held = true }, UnschedulableDrained},
+		{"drained by an operator", func(e *Endpoint) { e.OperatorDrained = true }, UnschedulableDrained},
 		{"in an evacuated zone", func(e *Endpoint) { e.SetEvacuated(now, true) }, UnschedulableEvacuated},
 		{"draining in an evacuated zone", func(e *Endpoint) { e.Draining = true; e.SetEvacuated(now, true) }, UnschedulableLeaving},
 		{"evacuation ended", func(e *Endpoint) { e.SetEvacuated(now, true); e.SetEvacuated(now, false) }, Schedulable},
@@ -59,7 +59,7 @@
 
 func TestBestPaceIgnoresUnschedulableEndpoints(t *testing.T) {
 	for _, withhold := range []func(e *Endpoint){
-		func(e *Endpoint) { e.Draining = true }, func(e *Endpoint) { e.Held = true }, func(e *Endpoint) { e.Evacuated = true },
+		func(e *Endpoint) { e.Draining = true }, func(e *Endpoint) { e.OperatorDrained = true }, func(e *Endpoint) { e.Evacuated = true },
 	} {
 		fast, slow := newEndpoint("fast"), newEndpoint("slow")
 		fast.LearnPace(now, 40*time.Millisecond)
