--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -189,7 +189,7 @@
 	if cancelled && ended.outcome != relay.Answered {
 		return
 	}
-	if ended.endpoint.Attempted(now, ended.outcome, took) {
+	if ended.endpoint.RecordAttempt(now, ended.outcome, took) {
 		x.agent.log.add(event.ReplicaEjected, "replica", ended.endpoint.ID, "after_ms", took.Milliseconds())
 	}
 }
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -122,9 +122,9 @@
 	e.lastHeardAt = now
 }
 
-// Attempted records the outcome and duration of an attempt. It reports whether the endpoint was
+// RecordAttempt records the outcome and duration of an attempt. It reports whether the endpoint was
 // ejected.
-func (e *Endpoint) Attempted(now time.Time, outcome relay.Outcome, took time.Duration) (ejected bool) {
+func (e *Endpoint) RecordAttempt(now time.Time, outcome relay.Outcome, took time.Duration) (ejected bool) {
 	switch outcome {
 	case relay.Answered:
 		e.Succeeded(took)
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -191,7 +191,7 @@
 	delete(try.open, id)
 	try.relay.Ended(result.Outcome)
 	o.noteCrash(now, one.scoringRequest, chosen, result.Crashed)
-	if chosen.Attempted(now, result.Outcome, took) {
+	if chosen.RecordAttempt(now, result.Outcome, took) {
 		o.jobs.options.Queue.Log(event.ReplicaEjected, "replica", chosen.ID, "after_ms", took.Milliseconds())
 	}
 	if result.Score != "" && result.Status < http.StatusMultipleChoices {
