--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -127,7 +127,7 @@
 func (e *Endpoint) RecordAttempt(now time.Time, outcome relay.Outcome, took time.Duration) (ejected bool) {
 	switch outcome {
 	case relay.Answered:
-		e.Succeeded(took)
+		e.RecordSuccess(took)
 	case relay.NotRun:
 		e.Busy(now)
 	case relay.Errored, relay.Broken, relay.Unreached, relay.Refused:
@@ -136,8 +136,8 @@
 	return false
 }
 
-// Succeeded records an answered attempt and its latency.
-func (e *Endpoint) Succeeded(latency time.Duration) {
+// RecordSuccess records an answered attempt and its latency.
+func (e *Endpoint) RecordSuccess(latency time.Duration) {
 	e.failures = 0
 	e.ejections = 0
 	e.ejectedUntil = time.Time{}
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -24,7 +24,7 @@
 		{"excluded", func(e *Endpoint) { e.ID = "tried" }, false, false},
 		{"one failure", func(e *Endpoint) { e.Failed(now) }, true, true},
 		{"consecutive failures", func(e *Endpoint) { e.Failed(now); e.Failed(now) }, false, false},
-		{"failures with a success in between", func(e *Endpoint) { e.Failed(now); e.Succeeded(time.Millisecond); e.Failed(now) }, true, true},
+		{"failures with a success in between", func(e *Endpoint) { e.Failed(now); e.RecordSuccess(time.Millisecond); e.Failed(now) }, true, true},
 		{"expired ejection", func(e *Endpoint) { e.Failed(now.Add(-time.Second)); e.Failed(now.Add(-time.Second)) }, true, true},
 		{"old weights", func(e *Endpoint) { e.Versions["m"] = 1 }, false, false},
 		{"loading the model", func(e *Endpoint) { e.SetLoading("m", now.Add(time.Second)) }, true, false},
@@ -103,7 +103,7 @@
 			t.Errorf("pauses %v", pauses)
 		}
 	}
-	if e.Succeeded(time.Millisecond); e.Ejected(at) {
+	if e.RecordSuccess(time.Millisecond); e.Ejected(at) {
 		t.Error("still ejected after a success")
 	}
 }
--- a/internal/process/endpoint/play_test.go
+++ b/internal/process/endpoint/play_test.go
@@ -80,7 +80,7 @@
 				return false
 			}
 			one.from.InFlight--
-			one.from.Succeeded(one.took)
+			one.from.RecordSuccess(one.took)
 			return true
 		})
 		query := northQuery()
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -92,7 +92,7 @@
 		list = append(list, endpointIn(fmt.Sprint("n", i), fmt.Sprint("n", i), north), endpointIn(fmt.Sprint("s", i), fmt.Sprint("s", i), south))
 	}
 	for _, e := range list {
-		e.Succeeded(25*time.Millisecond + testExtraLatency(e.Zone))
+		e.RecordSuccess(25*time.Millisecond + testExtraLatency(e.Zone))
 	}
 	return list
 }
@@ -208,7 +208,7 @@
 	for i := range 5 {
 		e := newEndpoint(fmt.Sprint(i))
 		e.Zone = fmt.Sprint("z", i%3)
-		e.Succeeded(time.Duration(20+7*i) * time.Millisecond)
+		e.RecordSuccess(time.Duration(20+7*i) * time.Millisecond)
 		e.LearnPace(now, time.Duration(40+5*(i%2))*time.Millisecond)
 		list = append(list, e)
 	}
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -184,7 +184,7 @@
 	id := chosen.ID
 	switch result.Outcome {
 	case task.RunCompleted:
-		chosen.Succeeded(result.FirstEvent)
+		chosen.RecordSuccess(result.FirstEvent)
 	case task.RunRefused:
 		chosen.Refused(now, model)
 	case task.RunSilent:
