--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -264,7 +264,7 @@
 	}{
 		{"it is ejected", func(c *coldNode, chosen *endpoint.Endpoint) {
 			for range 4 {
-				chosen.Failed(c.Now)
+				chosen.RecordFailure(c.Now)
 			}
 		}, true},
 		{"it leaves", func(_ *coldNode, chosen *endpoint.Endpoint) { chosen.Draining = true }, true},
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -33,8 +33,8 @@
 				one.InFlight = 6
 			}
 			if c.ejected[i] {
-				one.Failed(start)
-				one.Failed(start)
+				one.RecordFailure(start)
+				one.RecordFailure(start)
 			}
 		}
 		n.rotation = 1
@@ -167,7 +167,10 @@
 		{"drained", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.OperatorDrained = true }, "slow"},
 		{"its zone is evacuated", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetEvacuated(start, true) }, "slow"},
 		{"cold", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.ColdUntil = start.Add(time.Second) }, "slow"},
-		{"ejected", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Failed(start); fast.Failed(start) }, "slow"},
+		{"ejected", func(fast *endpoint.Endpoint, _ *batch.Placement) {
+			fast.RecordFailure(start)
+			fast.RecordFailure(start)
+		}, "slow"},
 		{"it loads", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetLoading("m", start.Add(time.Second)) }, "slow"},
 		{"too old a version", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Versions["m"] = 0 }, "slow"},
 		{"the item was there", func(_ *endpoint.Endpoint, wanted *batch.Placement) { wanted.Avoid = "fast" }, "slow"},
@@ -202,8 +205,8 @@
 	}
 	ejected := n.endpoints.Find("ejected")
 	ejected.LearnPace(start, 50*time.Millisecond)
-	ejected.Failed(start)
-	ejected.Failed(start)
+	ejected.RecordFailure(start)
+	ejected.RecordFailure(start)
 	for look, want := range map[bool]string{true: "", false: "ejected"} {
 		got := ""
 		if chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Look: look}); chosen != nil {
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -131,7 +131,7 @@
 	case relay.NotRun:
 		e.Busy(now)
 	case relay.Errored, relay.Broken, relay.Unreached, relay.Refused:
-		return e.Failed(now)
+		return e.RecordFailure(now)
 	}
 	return false
 }
@@ -191,11 +191,11 @@
 	if now.Sub(e.lastHeardAt) < livenessWindow {
 		return false
 	}
-	return e.Failed(now)
+	return e.RecordFailure(now)
 }
 
-// Failed records a failed attempt and reports whether the endpoint was ejected.
-func (e *Endpoint) Failed(now time.Time) bool {
+// RecordFailure records a failed attempt and reports whether the endpoint was ejected.
+func (e *Endpoint) RecordFailure(now time.Time) bool {
 	e.failures++
 	if e.failures < ejectAfter || e.Ejected(now) {
 		return false
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -22,10 +22,10 @@
 		{"usable", func(*Endpoint) {}, true, true},
 		{"leaving", func(e *Endpoint) { e.Draining = true }, false, false},
 		{"excluded", func(e *Endpoint) { e.ID = "tried" }, false, false},
-		{"one failure", func(e *Endpoint) { e.Failed(now) }, true, true},
-		{"consecutive failures", func(e *Endpoint) { e.Failed(now); e.Failed(now) }, false, false},
-		{"failures with a success in between", func(e *Endpoint) { e.Failed(now); e.RecordSuccess(time.Millisecond); e.Failed(now) }, true, true},
-		{"expired ejection", func(e *Endpoint) { e.Failed(now.Add(-time.Second)); e.Failed(now.Add(-time.Second)) }, true, true},
+		{"one failure", func(e *Endpoint) { e.RecordFailure(now) }, true, true},
+		{"consecutive failures", func(e *Endpoint) { e.RecordFailure(now); e.RecordFailure(now) }, false, false},
+		{"failures with a success in between", func(e *Endpoint) { e.RecordFailure(now); e.RecordSuccess(time.Millisecond); e.RecordFailure(now) }, true, true},
+		{"expired ejection", func(e *Endpoint) { e.RecordFailure(now.Add(-time.Second)); e.RecordFailure(now.Add(-time.Second)) }, true, true},
 		{"old weights", func(e *Endpoint) { e.Versions["m"] = 1 }, false, false},
 		{"loading the model", func(e *Endpoint) { e.SetLoading("m", now.Add(time.Second)) }, true, false},
 		{"loading another model", func(e *Endpoint) { e.SetLoading("n", now.Add(time.Second)) }, true, true},
@@ -93,8 +93,8 @@
 	at := now
 	var pauses []time.Duration
 	for range 6 {
-		e.Failed(at)
-		e.Failed(at)
+		e.RecordFailure(at)
+		e.RecordFailure(at)
 		pauses = append(pauses, e.ejectedUntil.Sub(at))
 		at = e.ejectedUntil
 	}
--- a/internal/process/endpoint/incarnation_test.go
+++ b/internal/process/endpoint/incarnation_test.go
@@ -41,8 +41,8 @@
 			}
 			first.InFlight, first.Tokens = 3, 900
 			first.LearnPace(now, time.Second)
-			first.Failed(now)
-			first.Failed(now)
+			first.RecordFailure(now)
+			first.RecordFailure(now)
 			change := registry.Put(c.second)
 			e := registry.Find("r")
 			if fresh := e != first; fresh != c.fresh || change.Added != c.fresh || (change.Former == first) != c.fresh {
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -192,7 +192,7 @@
 	case task.RunUnreachable:
 		// A replica that resets connections fails at once, so that it always has room: unless it
 		// is taken out, it draws all items that wait.
-		j.noteFailure(id, took, chosen.Failed(now))
+		j.noteFailure(id, took, chosen.RecordFailure(now))
 	case task.RunInterrupted, task.RunFailed, task.RunImpossible, task.RunSlow:
 	}
 	if result.Pace > 0 {
