--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -185,9 +185,9 @@
 	return e.pace
 }
 
-// Silent records an attempt that timed out. An endpoint that recently responded to other requests is
-// considered overloaded. Silent reports whether the endpoint was ejected.
-func (e *Endpoint) Silent(now time.Time) bool {
+// RecordTimeout records an attempt that timed out. An endpoint that recently responded to other requests is
+// considered overloaded. RecordTimeout reports whether the endpoint was ejected.
+func (e *Endpoint) RecordTimeout(now time.Time) bool {
 	if now.Sub(e.lastHeardAt) < livenessWindow {
 		return false
 	}
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -111,12 +111,12 @@
 func TestTimeoutOfRespondingEndpoint(t *testing.T) {
 	e := newEndpoint("e")
 	e.LearnPace(now, 40*time.Millisecond)
-	e.Silent(now.Add(livenessWindow / 2))
-	if e.Silent(now.Add(livenessWindow/2)) || e.Ejected(now.Add(livenessWindow/2)) {
+	e.RecordTimeout(now.Add(livenessWindow / 2))
+	if e.RecordTimeout(now.Add(livenessWindow/2)) || e.Ejected(now.Add(livenessWindow/2)) {
 		t.Error("ejected although it responds to other runs")
 	}
-	e.Silent(now.Add(2 * livenessWindow))
-	if !e.Silent(now.Add(2 * livenessWindow)) {
+	e.RecordTimeout(now.Add(2 * livenessWindow))
+	if !e.RecordTimeout(now.Add(2 * livenessWindow)) {
 		t.Error("not ejected although it responds to no run")
 	}
 }
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -188,7 +188,7 @@
 	case task.RunRefused:
 		chosen.Refused(now, model)
 	case task.RunSilent:
-		j.noteFailure(id, took, chosen.Silent(now))
+		j.noteFailure(id, took, chosen.RecordTimeout(now))
 	case task.RunUnreachable:
 		// A replica that resets connections fails at once, so that it always has room: unless it
 		// is taken out, it draws all items that wait.
