--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -212,9 +212,9 @@
 // either full or loading a version, which takes about a second.
 const refusalBackoff = 350 * time.Millisecond
 
-// Refused records that the endpoint refused an item of a model. Only the node that orders versions
+// RecordRefusal records that the endpoint refused an item of a model. Only the node that orders versions
 // knows which endpoints are loading, so other nodes infer it from refusals.
-func (e *Endpoint) Refused(now time.Time, model string) {
+func (e *Endpoint) RecordRefusal(now time.Time, model string) {
 	e.Busy(now)
 	if until := now.Add(refusalBackoff); until.After(e.loading[model]) {
 		e.SetLoading(model, until)
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -141,12 +141,12 @@
 func TestRefusalBlocksModel(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := &Endpoint{ReplicaRecord: port.ReplicaRecord{ID: "r", Slots: 8}}
-	e.Refused(now, "m")
+	e.RecordRefusal(now, "m")
 	if !e.Loading(now.Add(refusalBackoff/2), "m") || e.Loading(now.Add(refusalBackoff/2), "n") || e.Loading(now.Add(refusalBackoff), "m") {
 		t.Error("a refusal must block that model for refusalBackoff and no other model")
 	}
 	e.SetLoading("m", now.Add(time.Minute))
-	e.Refused(now, "m")
+	e.RecordRefusal(now, "m")
 	if !e.Loading(now.Add(time.Second), "m") {
 		t.Error("a refusal must not shorten a known load")
 	}
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -186,7 +186,7 @@
 	case task.RunCompleted:
 		chosen.RecordSuccess(result.FirstEvent)
 	case task.RunRefused:
-		chosen.Refused(now, model)
+		chosen.RecordRefusal(now, model)
 	case task.RunSilent:
 		j.noteFailure(id, took, chosen.RecordTimeout(now))
 	case task.RunUnreachable:
