--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -129,7 +129,7 @@
 	case relay.Answered:
 		e.RecordSuccess(took)
 	case relay.NotRun:
-		e.Busy(now)
+		e.RecordOverload(now)
 	case relay.Errored, relay.Broken, relay.Unreached, relay.Refused:
 		return e.RecordFailure(now)
 	}
@@ -215,14 +215,14 @@
 // RecordRefusal records that the endpoint refused an item of a model. Only the node that orders versions
 // knows which endpoints are loading, so other nodes infer it from refusals.
 func (e *Endpoint) RecordRefusal(now time.Time, model string) {
-	e.Busy(now)
+	e.RecordOverload(now)
 	if until := now.Add(refusalBackoff); until.After(e.loading[model]) {
 		e.SetLoading(model, until)
 	}
 }
 
-// Busy records that the endpoint refused a request because of its load.
-func (e *Endpoint) Busy(now time.Time) {
+// RecordOverload records that the endpoint refused a request because of its load.
+func (e *Endpoint) RecordOverload(now time.Time) {
 	e.reportedLoad = max(e.reportedLoad, e.Slots)
 	e.loadReportedAt = now
 }
