--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -101,8 +101,8 @@
 	e.loading[model] = until
 }
 
-// LearnVersion records a model version reported by the endpoint. Lower versions are ignored.
-func (e *Endpoint) LearnVersion(model string, version int64) {
+// UpdateVersion records a model version reported by the endpoint. Lower versions are ignored.
+func (e *Endpoint) UpdateVersion(model string, version int64) {
 	if version <= e.Versions[model] || model == "" {
 		return
 	}
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -126,7 +126,7 @@
 	if change := r.Put(newEndpoint("a").ReplicaRecord); !change.Added {
 		t.Errorf("%+v", change)
 	}
-	r.Find("a").LearnVersion("m", 5)
+	r.Find("a").UpdateVersion("m", 5)
 	record := newEndpoint("a").ReplicaRecord
 	record.Draining = true
 	if change := r.Put(record); !change.Leaving || r.Find("a").Versions["m"] != 5 {
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -75,7 +75,7 @@
 		{"caller's request", func(*Registry, *Pool) {}, func(q *Query) { q.Model, q.MinVersion, q.Origin = "", 0, "node" }, freeTarget},
 		{"few endpoints have the version", func(_ *Registry, pool *Pool) {
 			for _, e := range pool.WorkingSet(map[string]Need{"m": {Endpoints: 20}}) {
-				e.LearnVersion("m", 2)
+				e.UpdateVersion("m", 2)
 			}
 		}, func(q *Query) { q.MinVersion = 2 }, 20},
 		{"no endpoint has the version", func(*Registry, *Pool) {}, func(q *Query) { q.MinVersion = 2 }, 0},
@@ -138,14 +138,14 @@
 		e := pool.All()[random.IntN(pool.Len())]
 		switch random.IntN(4) {
 		case 0:
-			e.LearnVersion("m", int64(random.IntN(9)))
+			e.UpdateVersion("m", int64(random.IntN(9)))
 		case 1:
 			record := e.ReplicaRecord
 			record.Versions = map[string]int64{"m": int64(random.IntN(9))}
 			registry.Put(record)
 		case 2:
 			registry.Remove(e.ID)
-			e.LearnVersion("m", 20)
+			e.UpdateVersion("m", 20)
 		case 3:
 			record := e.ReplicaRecord
 			record.ID, record.Versions = fmt.Sprintf("new-%d", step), map[string]int64{"n": 3}
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -271,6 +271,6 @@
 		return
 	}
 	for _, single := range result.Events {
-		chosen.LearnVersion(o.job.Model, single.Version)
+		chosen.UpdateVersion(o.job.Model, single.Version)
 	}
 }
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -26,7 +26,7 @@
 		state.report = report
 		state.reportAt = now
 		for model, version := range report.Versions {
-			one.LearnVersion(model, version)
+			one.UpdateVersion(model, version)
 		}
 		state.notAt = now
 		if state.ordered {
@@ -146,7 +146,7 @@
 	case port.VersionOrderAccepted:
 		state.answered = true
 	case port.VersionOrderHeld:
-		one.endpoint.LearnVersion(one.model, one.version)
+		one.endpoint.UpdateVersion(one.model, one.version)
 	case port.VersionOrderUnknown:
 		state.notAt = now.Add(lookEvery)
 	case port.VersionOrderConflict, port.VersionOrderFenced, port.VersionOrderRefused:
