--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -158,7 +158,7 @@
 	x.agent.do(func(now time.Time) {
 		chosen.InFlight--
 		if running, waiting, _, ok := x.agent.protocol.Load(ended.header); ok {
-			chosen.LearnLoad(now, running, waiting)
+			chosen.UpdateLoad(now, running, waiting)
 		}
 		x.account(now, ended, now.Sub(startedAt), ctx.Err() != nil)
 		x.noteRun(now, ended)
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -159,7 +159,7 @@
 	}
 	a.do(func(now time.Time) {
 		if one := a.node.Endpoints().Find(replica); one != nil {
-			one.LearnLoad(now, running, waiting)
+			one.UpdateLoad(now, running, waiting)
 		}
 	})
 }
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -115,8 +115,8 @@
 	e.Versions[model] = version
 }
 
-// LearnLoad records the load reported in a response.
-func (e *Endpoint) LearnLoad(now time.Time, running, waiting int) {
+// UpdateLoad records the load reported in a response.
+func (e *Endpoint) UpdateLoad(now time.Time, running, waiting int) {
 	e.reportedLoad = running + waiting
 	e.loadReportedAt = now
 	e.lastHeardAt = now
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -29,8 +29,8 @@
 		{"old weights", func(e *Endpoint) { e.Versions["m"] = 1 }, false, false},
 		{"loading the model", func(e *Endpoint) { e.SetLoading("m", now.Add(time.Second)) }, true, false},
 		{"loading another model", func(e *Endpoint) { e.SetLoading("n", now.Add(time.Second)) }, true, true},
-		{"full by its report", func(e *Endpoint) { e.LearnLoad(now, 4, 2) }, true, false},
-		{"full by an expired report", func(e *Endpoint) { e.LearnLoad(now.Add(-loadTTL), 4, 2) }, true, true},
+		{"full by its report", func(e *Endpoint) { e.UpdateLoad(now, 4, 2) }, true, false},
+		{"full by an expired report", func(e *Endpoint) { e.UpdateLoad(now.Add(-loadTTL), 4, 2) }, true, true},
 		{"full by own attempts", func(e *Endpoint) { e.InFlight = 6 }, true, false},
 	}
 	for _, c := range cases {
--- a/internal/process/endpoint/play_test.go
+++ b/internal/process/endpoint/play_test.go
@@ -86,7 +86,7 @@
 		query := northQuery()
 		query.Now, query.Rotation = at, number
 		for _, e := range list {
-			e.LearnLoad(at, others[e.Region]+e.InFlight, 0)
+			e.UpdateLoad(at, others[e.Region]+e.InFlight, 0)
 		}
 		chosen := choose(list, query)
 		back := replicas[chosen.ID].serve(at, others[chosen.Region], random)
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -253,7 +253,7 @@
 		b := newBench("a", newStore())
 		b.accept(newJob("j", 2))
 		b.pass(100 * time.Millisecond)
-		b.one.LearnLoad(b.now, 3, 0)
+		b.one.UpdateLoad(b.now, 3, 0)
 		for _, run := range b.takeRuns() {
 			run.Done(b.now, task.RunResult{Outcome: c.outcome})
 		}
