--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -96,8 +96,8 @@
 	}
 	known := n.endpoints.Find("known")
 	known.InFlight = 3
-	known.LearnPace(start, 50*time.Millisecond)
-	n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
+	known.UpdatePace(start, 50*time.Millisecond)
+	n.endpoints.Find("slow").UpdatePace(start, 65*time.Millisecond)
 	for _, paced := range []bool{false, true} {
 		want := map[bool]string{false: "unknown", true: "known"}[paced]
 		chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, Paced: paced})
@@ -131,8 +131,8 @@
 		}
 		fast := n.endpoints.Find("fast")
 		fast.InFlight, fast.Tokens = c.inFlight, c.tokens
-		fast.LearnPace(start, 50*time.Millisecond)
-		n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
+		fast.UpdatePace(start, 50*time.Millisecond)
+		n.endpoints.Find("slow").UpdatePace(start, 65*time.Millisecond)
 		chosen := n.place(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Long: c.long, Tokens: 200})
 		if chosen == nil || chosen.ID != c.want {
 			t.Errorf("%s: %v, should be %s", c.name, chosen, c.want)
@@ -184,8 +184,8 @@
 			n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 		}
 		fast := n.endpoints.Find("fast")
-		fast.LearnPace(start, 50*time.Millisecond)
-		n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
+		fast.UpdatePace(start, 50*time.Millisecond)
+		n.endpoints.Find("slow").UpdatePace(start, 65*time.Millisecond)
 		wanted := batch.Placement{Route: route, Model: "m", MinVersion: 1, Long: true, Look: true}
 		c.bar(fast, &wanted)
 		if chosen := n.place(start.Add(time.Millisecond), wanted); chosen == nil || chosen.ID != c.want {
@@ -204,7 +204,7 @@
 		n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 	}
 	ejected := n.endpoints.Find("ejected")
-	ejected.LearnPace(start, 50*time.Millisecond)
+	ejected.UpdatePace(start, 50*time.Millisecond)
 	ejected.RecordFailure(start)
 	ejected.RecordFailure(start)
 	for look, want := range map[bool]string{true: "", false: "ejected"} {
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -148,8 +148,8 @@
 	e.latency += time.Duration(latencyWeight * float64(latency-e.latency))
 }
 
-// LearnPace records the mean time between two events of a run.
-func (e *Endpoint) LearnPace(now time.Time, pace time.Duration) {
+// UpdatePace records the mean time between two events of a run.
+func (e *Endpoint) UpdatePace(now time.Time, pace time.Duration) {
 	if pace <= 0 {
 		return
 	}
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -51,10 +51,10 @@
 func TestScores(t *testing.T) {
 	idle, busy, slow := newEndpoint("idle"), newEndpoint("busy"), newEndpoint("slow")
 	busy.InFlight = 4
-	idle.LearnPace(now, 40*time.Millisecond)
-	slow.LearnPace(now, 80*time.Millisecond)
+	idle.UpdatePace(now, 40*time.Millisecond)
+	slow.UpdatePace(now, 80*time.Millisecond)
 	batch := newEndpoint("batch")
-	batch.LearnPace(now, 44*time.Millisecond)
+	batch.UpdatePace(now, 44*time.Millisecond)
 	query := &Query{Now: now, Zone: "z", BestPace: 40 * time.Millisecond, Prefer: "busy", Room: 2}
 	for _, c := range []struct {
 		name      string
@@ -74,7 +74,7 @@
 	}
 	registry := NewRegistry()
 	for id, pace := range map[string]time.Duration{"idle": 40 * time.Millisecond, "slow": 80 * time.Millisecond, "busy": 0} {
-		registry.Put(newEndpoint(id).ReplicaRecord).Endpoint.LearnPace(now, pace)
+		registry.Put(newEndpoint(id).ReplicaRecord).Endpoint.UpdatePace(now, pace)
 	}
 	if got := registry.Pool("s").BestPace(now, port.Homes{}); got != 40*time.Millisecond {
 		t.Errorf("best pace %s", got)
@@ -110,7 +110,7 @@
 
 func TestTimeoutOfRespondingEndpoint(t *testing.T) {
 	e := newEndpoint("e")
-	e.LearnPace(now, 40*time.Millisecond)
+	e.UpdatePace(now, 40*time.Millisecond)
 	e.RecordTimeout(now.Add(livenessWindow / 2))
 	if e.RecordTimeout(now.Add(livenessWindow/2)) || e.Ejected(now.Add(livenessWindow/2)) {
 		t.Error("ejected although it responds to other runs")
@@ -170,8 +170,8 @@
 	} {
 		fastest, other := newEndpoint("fastest"), newEndpoint("other")
 		fastest.InFlight = c.held
-		fastest.LearnPace(now, 40*time.Millisecond)
-		other.LearnPace(now, c.pace)
+		fastest.UpdatePace(now, 40*time.Millisecond)
+		other.UpdatePace(now, c.pace)
 		query := &Query{Now: now, Model: "m", MinVersion: 2, Room: 1.5, BestPace: 40 * time.Millisecond}
 		if got := LongRollouts.Pick(query, []*Endpoint{fastest, other}); c.want != "" && got.ID != c.want {
 			t.Errorf("%s: chose the %s", c.name, got.ID)
--- a/internal/process/endpoint/incarnation_test.go
+++ b/internal/process/endpoint/incarnation_test.go
@@ -40,7 +40,7 @@
 				first.Revision = 1
 			}
 			first.InFlight, first.Tokens = 3, 900
-			first.LearnPace(now, time.Second)
+			first.UpdatePace(now, time.Second)
 			first.RecordFailure(now)
 			first.RecordFailure(now)
 			change := registry.Put(c.second)
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -159,8 +159,8 @@
 	}{
 		{"equal", func(_, _ *Endpoint) {}, "near"},
 		{"near endpoint 1.5 times slower", func(near, far *Endpoint) {
-			near.LearnPace(now, 60*time.Millisecond)
-			far.LearnPace(now, 40*time.Millisecond)
+			near.UpdatePace(now, 60*time.Millisecond)
+			far.UpdatePace(now, 40*time.Millisecond)
 		}, "far"},
 		{"near endpoint out of memory", func(near, _ *Endpoint) { near.Tokens = 15_000 }, "far"},
 		{"near endpoint without a free slot", func(near, _ *Endpoint) { near.InFlight = 6 }, "far"},
@@ -209,7 +209,7 @@
 		e := newEndpoint(fmt.Sprint(i))
 		e.Zone = fmt.Sprint("z", i%3)
 		e.RecordSuccess(time.Duration(20+7*i) * time.Millisecond)
-		e.LearnPace(now, time.Duration(40+5*(i%2))*time.Millisecond)
+		e.UpdatePace(now, time.Duration(40+5*(i%2))*time.Millisecond)
 		list = append(list, e)
 	}
 	var names strings.Builder
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -62,8 +62,8 @@
 		func(e *Endpoint) { e.Draining = true }, func(e *Endpoint) { e.OperatorDrained = true }, func(e *Endpoint) { e.Evacuated = true },
 	} {
 		fast, slow := newEndpoint("fast"), newEndpoint("slow")
-		fast.LearnPace(now, 40*time.Millisecond)
-		slow.LearnPace(now, 80*time.Millisecond)
+		fast.UpdatePace(now, 40*time.Millisecond)
+		slow.UpdatePace(now, 80*time.Millisecond)
 		withhold(fast)
 		if got := poolOf(fast, slow).BestPace(now, port.Homes{}); got != 80*time.Millisecond {
 			t.Errorf("best pace %s includes an endpoint that is %s", got, fast.UnschedulableReason())
--- a/internal/version/batch/move_test.go
+++ b/internal/version/batch/move_test.go
@@ -49,7 +49,7 @@
 // TestMoveIsLogged: the log tells which group's item was moved, and why.
 func TestMoveIsLogged(t *testing.T) {
 	b, runs := progressBench(t, 4, time.Second)
-	b.one.LearnPace(b.now, 50*time.Millisecond)
+	b.one.UpdatePace(b.now, 50*time.Millisecond)
 	if stop := runs[0].Progress(b.now, nil, 200*time.Millisecond); !stop {
 		t.Fatal("a run at a replica in trouble is not moved")
 	}
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	if chosen := o.runsAt(one); chosen != nil && one.run == run {
-		chosen.LearnPace(now, pace)
+		chosen.UpdatePace(now, pace)
 	}
 	route := o.route()
 	if one.state != itemRunning || one.run != run || route == nil || route.SingleVersion || one.moves >= movesAtMost {
@@ -196,7 +196,7 @@
 	case task.RunInterrupted, task.RunFailed, task.RunImpossible, task.RunSlow:
 	}
 	if result.Pace > 0 {
-		chosen.LearnPace(now, result.Pace)
+		chosen.UpdatePace(now, result.Pace)
 	}
 }
 
--- a/internal/version/rollout/exchange_test.go
+++ b/internal/version/rollout/exchange_test.go
@@ -92,10 +92,10 @@
 // TestNatureIsTheLeastPace: a replica that is slow for a while is not slow by nature.
 func TestNatureIsTheLeastPace(t *testing.T) {
 	now, list, seen := time.Unix(1000, 0), replicas(2, "a"), nature{}
-	list[0].LearnPace(now, 50*time.Millisecond)
+	list[0].UpdatePace(now, 50*time.Millisecond)
 	seen.note(now, list)
 	for range 20 {
-		list[0].LearnPace(now, 200*time.Millisecond)
+		list[0].UpdatePace(now, 200*time.Millisecond)
 	}
 	seen.note(now, list)
 	if seen[list[0]] != 50*time.Millisecond || seen[list[1]] != 0 {
@@ -115,7 +115,7 @@
 	for i, e := range b.endpoints {
 		e.Versions = map[string]int64{"a": 1, "b": 1}
 		b.generators[e.ID].Versions = map[string]int64{"a": 1, "b": 1}
-		e.LearnPace(b.now, []time.Duration{50 * time.Millisecond, 65 * time.Millisecond}[i/2%2])
+		e.UpdatePace(b.now, []time.Duration{50 * time.Millisecond, 65 * time.Millisecond}[i/2%2])
 	}
 	const versions = 10
 	for version := int64(2); version <= versions; version++ {
