--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// HearPace records a pace measured by another node, unless this node has a recent one of its own.
-func (e *Endpoint) HearPace(now time.Time, pace time.Duration) {
+// UpdateRemotePace records a pace measured by another node, unless this node has a recent one of its own.
+func (e *Endpoint) UpdateRemotePace(now time.Time, pace time.Duration) {
 	if now.Sub(e.paceUpdatedAt) >= localPaceTTL && pace > 0 {
 		e.pace = pace
 		e.paceUpdated(now)
--- a/internal/version/batch/listing.go
+++ b/internal/version/batch/listing.go
@@ -116,7 +116,7 @@
 func (j *Jobs) hearPaces(now time.Time, state *doorstepv1.BatchJobHead) {
 	for _, one := range state.Paces {
 		if known := j.options.Find(one.Replica); known != nil {
-			known.HearPace(now, time.Duration(one.Microseconds)*time.Microsecond)
+			known.UpdateRemotePace(now, time.Duration(one.Microseconds)*time.Microsecond)
 		}
 	}
 }
