--- a/internal/process/endpoint/cold.go
+++ b/internal/process/endpoint/cold.go
@@ -6,9 +6,9 @@
 // It covers one heartbeat interval and the propagation of the record.
 const coldMargin = 2 * time.Second
 
-// LearnCold updates the cold state from the replica's record. A revision that was already applied is
+// UpdateCold updates the cold state from the replica's record. A revision that was already applied is
 // ignored.
-func (e *Endpoint) LearnCold(now time.Time) {
+func (e *Endpoint) UpdateCold(now time.Time) {
 	if e.Revision <= e.coldRecordRevision {
 		return
 	}
--- a/internal/process/endpoint/cold_test.go
+++ b/internal/process/endpoint/cold_test.go
@@ -40,7 +40,7 @@
 		}
 		for _, one := range c.updates {
 			e.Revision, e.ColdFor = one.revision, one.coldFor
-			e.LearnCold(at(one.at))
+			e.UpdateCold(at(one.at))
 		}
 		if e.Cold(at(c.warmAt), lasts) || c.name != "reported warm" && !e.Cold(at(c.warmAt).Add(-time.Millisecond), lasts) {
 			t.Errorf("%s: warm after %s, want %g s", c.name, e.WarmAt(lasts).Sub(start), c.warmAt)
