--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -114,7 +114,7 @@
 		Origin: n.options.Name,
 	}
 	if n.distances.Several() {
-		query.Away = n.distances.Away
+		query.ExtraLatency = n.distances.Away
 	}
 	return query
 }
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -14,9 +14,9 @@
 	Zone, Region string
 	// Homes are the regions that the request is restricted to.
 	Homes port.Homes
-	// Away returns the additional round-trip time to a zone compared with one in the node's own region.
+	// ExtraLatency returns the additional round-trip time to a zone compared with one in the node's own region.
 	// It is nil in a single-region deployment.
-	Away func(zone string) time.Duration
+	ExtraLatency func(zone string) time.Duration
 	// Origin is the key whose ring position a walk over a large pool starts at.
 	Origin string
 	// Model and MinVersion restrict the weights; an empty model accepts any.
--- a/internal/process/endpoint/play_test.go
+++ b/internal/process/endpoint/play_test.go
@@ -120,7 +120,7 @@
 	strategies := map[string]func(list []*Endpoint, q *Query) *Endpoint{
 		"by delay": func(list []*Endpoint, q *Query) *Endpoint { return Requests.Pick(q, list) },
 		"ignoring regions": func(list []*Endpoint, q *Query) *Endpoint {
-			q.Away = nil
+			q.ExtraLatency = nil
 			return Requests.Pick(q, list)
 		},
 		"weight 1": pickByRegionWeight(1), "weight 10": pickByRegionWeight(10),
--- a/internal/process/endpoint/region.go
+++ b/internal/process/endpoint/region.go
@@ -27,7 +27,7 @@
 	switch {
 	case e.Zone == q.Zone:
 		return 1
-	case q.Away != nil && q.Region != "" && e.Region == q.Region:
+	case q.ExtraLatency != nil && q.Region != "" && e.Region == q.Region:
 		return sameRegionScore
 	}
 	return 0
@@ -36,7 +36,7 @@
 // delay estimates the cost of sending a request to an endpoint compared with an idle one in the node's
 // own region: the additional round-trip time and the weighted wait for a slot.
 func delay(q *Query, e *Endpoint, service time.Duration) time.Duration {
-	cost := q.Away(e.Zone)
+	cost := q.ExtraLatency(e.Zone)
 	if ahead := e.Load(q.Now) - e.Slots; ahead >= 0 {
 		cost += queueWeight * time.Duration(ahead+1) * service / time.Duration(max(e.Slots, 1))
 	}
@@ -48,7 +48,7 @@
 func serviceTime(q *Query, candidates []*Endpoint) time.Duration {
 	service := time.Duration(0)
 	for _, one := range candidates {
-		own := one.latency - q.Away(one.Zone)
+		own := one.latency - q.ExtraLatency(one.Zone)
 		if one.latency > 0 && own > 0 && (service == 0 || own < service) {
 			service = own
 		}
@@ -63,7 +63,7 @@
 // requests until queueing there costs more than the round trip to another region
 // (TestRequestsSpillByWhatTheCallerGets).
 func filterByDelay(q *Query, candidates []*Endpoint) []*Endpoint {
-	if q.Away == nil || len(candidates) == 0 {
+	if q.ExtraLatency == nil || len(candidates) == 0 {
 		return candidates
 	}
 	service := serviceTime(q, candidates)
@@ -83,12 +83,12 @@
 
 // nearest returns the nearest of equally rated candidates.
 func nearest(q *Query, equal []*Endpoint) []*Endpoint {
-	if q.Away == nil || len(equal) == 0 {
+	if q.ExtraLatency == nil || len(equal) == 0 {
 		return equal
 	}
-	least := q.Away(equal[0].Zone)
+	least := q.ExtraLatency(equal[0].Zone)
 	for _, one := range equal {
-		least = min(least, q.Away(one.Zone))
+		least = min(least, q.ExtraLatency(one.Zone))
 	}
-	return slices.DeleteFunc(equal, func(one *Endpoint) bool { return q.Away(one.Zone) > least })
+	return slices.DeleteFunc(equal, func(one *Endpoint) bool { return q.ExtraLatency(one.Zone) > least })
 }
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -31,7 +31,7 @@
 }
 
 func northQuery() *Query {
-	return &Query{Now: now, Zone: "n1", Region: "north", Model: "m", Room: 1.5, Away: testExtraLatency}
+	return &Query{Now: now, Zone: "n1", Region: "north", Model: "m", Room: 1.5, ExtraLatency: testExtraLatency}
 }
 
 func TestNear(t *testing.T) {
@@ -52,7 +52,7 @@
 	} {
 		query := northQuery()
 		if !c.several {
-			query.Away = nil
+			query.ExtraLatency = nil
 		}
 		if got := Near(query, c.e); got != c.want {
 			t.Errorf("%s: %g, want %g", c.name, got, c.want)
