--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -27,7 +27,7 @@
 	}
 	query := n.query(now, wanted.Route, wanted.Tenant)
 	query.Model, query.MinVersion = wanted.Model, wanted.MinVersion
-	query.Origin = wanted.Model
+	query.WalkStart = wanted.Model
 	query.Look = wanted.Look
 	query.Prefer = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
@@ -111,7 +111,7 @@
 	n.rotation++
 	query := &endpoint.Query{
 		Now: now, Zone: n.options.Topology.Zone, Region: n.options.Topology.Region, Homes: n.Homes(route, tenant), Rotation: n.rotation,
-		Origin: n.options.Name,
+		WalkStart: n.options.Name,
 	}
 	if n.distances.Several() {
 		query.ExtraLatency = n.distances.Away
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -17,8 +17,8 @@
 	// ExtraLatency returns the additional round-trip time to a zone compared with one in the node's own region.
 	// It is nil in a single-region deployment.
 	ExtraLatency func(zone string) time.Duration
-	// Origin is the key whose ring position a walk over a large pool starts at.
-	Origin string
+	// WalkStart is the key whose ring position a walk over a large pool starts at.
+	WalkStart string
 	// Model and MinVersion restrict the weights; an empty model accepts any.
 	Model      string
 	MinVersion int64
--- a/internal/process/endpoint/walk.go
+++ b/internal/process/endpoint/walk.go
@@ -43,7 +43,7 @@
 	}
 	w := walk{profile: p, query: q, usable: make([]*Endpoint, 0, freeTarget)}
 	w.visitPreferred(pool)
-	w.visitRings(pool, ringPosition(q.Origin))
+	w.visitRings(pool, ringPosition(q.WalkStart))
 	if len(w.usable) == 0 {
 		w.misses = 0
 		w.visitRings(pool, rotationPosition(q.Rotation))
