--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -125,10 +125,10 @@
 		return
 	}
 	query.ColdLasts = bound.Lasts
-	if query.Unguarded || query.Room == 0 && n.DiscoveryAge(query.Now) < unconfirmedAfter {
+	if query.Unguarded || query.MaxLoad == 0 && n.DiscoveryAge(query.Now) < unconfirmedAfter {
 		return
 	}
-	items := query.Room > 0
+	items := query.MaxLoad > 0
 	query.Permit = func(e *endpoint.Endpoint) bool {
 		return n.cold.gate.Allows(query.Now, e.ID, service, bound, n.sender(query.Now, e, items))
 	}
--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -34,13 +34,13 @@
 		if chosen := profile.Choose(&holding, n.endpoints.Pool(service)); chosen != nil {
 			return chosen, true
 		}
-		if query.Room > 0 {
+		if query.MaxLoad > 0 {
 			n.claimForItems(profile, query, service, bound)
 		}
 		anyRoom := query
 		anyRoom.Permit = nil
-		if query.Room > 0 {
-			anyRoom.Room = math.Inf(1)
+		if query.MaxLoad > 0 {
+			anyRoom.MaxLoad = math.Inf(1)
 		}
 		later = later || profile.Choose(&anyRoom, n.endpoints.Pool(service)) != nil
 	}
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -31,7 +31,7 @@
 	query.Look = wanted.Look
 	query.Prefer = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
-	query.Room, query.Paced = rolloutRoom, wanted.Paced
+	query.MaxLoad, query.Paced = rolloutRoom, wanted.Paced
 	query.Exclude = excluded(wanted)
 	query.BestPace = n.bestPace(now, wanted.Route, query.Homes)
 	if wanted.Long {
@@ -103,7 +103,7 @@
 	}
 	query := n.query(now, route, tenant)
 	query.Exclude = exclude
-	query.Room = scoringRoom
+	query.MaxLoad = scoringRoom
 	return n.pick(&endpoint.ScoringCalls, query, route)
 }
 
@@ -123,7 +123,7 @@
 func (n *Node) pick(profile *endpoint.Profile, query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
 	chosen := n.choose(profile, query, route)
 	if chosen != nil && !query.Look {
-		n.noteSend(query.Now, chosen, query.Room > 0)
+		n.noteSend(query.Now, chosen, query.MaxLoad > 0)
 	}
 	return chosen
 }
@@ -136,7 +136,7 @@
 	if chosen := n.pickInOrder(profile, query, order); chosen != nil {
 		return chosen
 	}
-	if query.Room > 0 && n.roomLater(profile, *query, order) {
+	if query.MaxLoad > 0 && n.roomLater(profile, *query, order) {
 		return nil
 	}
 	if chosen, later := n.pickCold(profile, *query, order); chosen != nil || later {
@@ -163,7 +163,7 @@
 
 // roomLater reports whether there is an endpoint that lacks nothing but room.
 func (n *Node) roomLater(profile *endpoint.Profile, query endpoint.Query, order []string) bool {
-	query.Room, query.Unguarded = math.Inf(1), true
+	query.MaxLoad, query.Unguarded = math.Inf(1), true
 	return n.pickInOrder(profile, &query, order) != nil
 }
 
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -37,7 +37,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEndpoint("e")
 			c.change(e)
-			query := &Query{Now: now, Model: "m", MinVersion: 2, Room: 1.5, Exclude: map[string]bool{"tried": true}}
+			query := &Query{Now: now, Model: "m", MinVersion: 2, MaxLoad: 1.5, Exclude: map[string]bool{"tried": true}}
 			if got := Requests.Pick(query, []*Endpoint{e}) != nil; got != c.request {
 				t.Errorf("requests: eligible %t, want %t", got, c.request)
 			}
@@ -55,7 +55,7 @@
 	slow.UpdatePace(now, 80*time.Millisecond)
 	batch := newEndpoint("batch")
 	batch.UpdatePace(now, 44*time.Millisecond)
-	query := &Query{Now: now, Zone: "z", BestPace: 40 * time.Millisecond, Prefer: "busy", Room: 2}
+	query := &Query{Now: now, Zone: "z", BestPace: 40 * time.Millisecond, Prefer: "busy", MaxLoad: 2}
 	for _, c := range []struct {
 		name      string
 		got, want float64
@@ -172,7 +172,7 @@
 		fastest.InFlight = c.held
 		fastest.UpdatePace(now, 40*time.Millisecond)
 		other.UpdatePace(now, c.pace)
-		query := &Query{Now: now, Model: "m", MinVersion: 2, Room: 1.5, BestPace: 40 * time.Millisecond}
+		query := &Query{Now: now, Model: "m", MinVersion: 2, MaxLoad: 1.5, BestPace: 40 * time.Millisecond}
 		if got := LongRollouts.Pick(query, []*Endpoint{fastest, other}); c.want != "" && got.ID != c.want {
 			t.Errorf("%s: chose the %s", c.name, got.ID)
 		}
@@ -192,7 +192,7 @@
 		holding.Tokens, holding.InFlight = 15_000, 1
 		empty.Tokens, empty.InFlight = 1_000, 1
 		empty.Zone = "y"
-		query := &Query{Now: now, Zone: "z", Model: "m", Room: 1.5, Tokens: 8_000, MemoryTokens: c.memory}
+		query := &Query{Now: now, Zone: "z", Model: "m", MaxLoad: 1.5, Tokens: 8_000, MemoryTokens: c.memory}
 		for name, profile := range map[string]*Profile{"long": &LongRollouts, "other": &Rollouts} {
 			if got := profile.Pick(query, []*Endpoint{holding, empty}); got == nil || got.ID != c.want {
 				t.Errorf("%s, %s: %v", c.name, name, got)
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -26,8 +26,8 @@
 	Exclude map[string]bool
 	// Prefer is the ID of the endpoint that has the request's prompt cached.
 	Prefer string
-	// Room limits the requests on an endpoint, as a multiple of its slots.
-	Room float64
+	// MaxLoad limits the requests on an endpoint, as a multiple of its slots.
+	MaxLoad float64
 	// Tokens is the memory that the request is expected to use and MemoryTokens the memory of a
 	// replica, both in tokens; 0 if unknown.
 	Tokens, MemoryTokens int
@@ -118,7 +118,7 @@
 
 // HasRoom drops endpoints that have reached the query's load limit.
 func HasRoom(q *Query, e *Endpoint) bool {
-	return float64(e.Load(q.Now)) < q.Room*float64(max(e.Slots, 1))
+	return float64(e.Load(q.Now)) < q.MaxLoad*float64(max(e.Slots, 1))
 }
 
 // FastKind drops endpoints that are known to be slower than the fastest.
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -31,7 +31,7 @@
 }
 
 func northQuery() *Query {
-	return &Query{Now: now, Zone: "n1", Region: "north", Model: "m", Room: 1.5, ExtraLatency: testExtraLatency}
+	return &Query{Now: now, Zone: "n1", Region: "north", Model: "m", MaxLoad: 1.5, ExtraLatency: testExtraLatency}
 }
 
 func TestNear(t *testing.T) {
@@ -214,7 +214,7 @@
 	}
 	var names strings.Builder
 	for i := range uint64(20) {
-		query := &Query{Now: now, Zone: "z1", Model: "m", Room: 1.5, Rotation: i, Tokens: 100, MemoryTokens: 5000, BestPace: 40 * time.Millisecond}
+		query := &Query{Now: now, Zone: "z1", Model: "m", MaxLoad: 1.5, Rotation: i, Tokens: 100, MemoryTokens: 5000, BestPace: 40 * time.Millisecond}
 		if chosen := profile.Pick(query, list); chosen != nil {
 			chosen.InFlight++
 			chosen.Tokens += 100
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -26,7 +26,7 @@
 }
 
 func itemQuery(minVersion int64) *Query {
-	return &Query{Now: now, Zone: "z1", Model: "m", WalkStart: "m", MinVersion: minVersion, Room: 1.5}
+	return &Query{Now: now, Zone: "z1", Model: "m", WalkStart: "m", MinVersion: minVersion, MaxLoad: 1.5}
 }
 
 // BenchmarkChoose measures one choice for an item while 200 items run.
@@ -252,7 +252,7 @@
 		for placed < items {
 			owner := placed % owners
 			rotation++
-			q := &Query{Now: at, Zone: "z1", Model: "m", WalkStart: fmt.Sprint("m", owner), MinVersion: 1, Room: 1.5, Rotation: rotation}
+			q := &Query{Now: at, Zone: "z1", Model: "m", WalkStart: fmt.Sprint("m", owner), MinVersion: 1, MaxLoad: 1.5, Rotation: rotation}
 			chosen := choose(q, pools[owner])
 			if chosen == nil {
 				break
