--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -31,7 +31,7 @@
 	query.Look = wanted.Look
 	query.Prefer = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
-	query.MaxLoad, query.Paced = rolloutRoom, wanted.Paced
+	query.MaxLoad, query.RequirePace = rolloutRoom, wanted.Paced
 	query.Exclude = excluded(wanted)
 	query.BestPace = n.bestPace(now, wanted.Route, query.Homes)
 	if wanted.Long {
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -33,8 +33,8 @@
 	Tokens, MemoryTokens int
 	// BestPace is the shortest time between two events among the candidates, 0 if unknown.
 	BestPace time.Duration
-	// Paced restricts the choice to endpoints with a known pace, if there are any.
-	Paced bool
+	// RequirePace restricts the choice to endpoints with a known pace, if there are any.
+	RequirePace bool
 	// AllowEjected includes ejected endpoints.
 	AllowEjected bool
 	// ColdLasts is how long a replica stays cold after its start, 0 if replicas accept full load at
@@ -125,7 +125,7 @@
 func FastKind(q *Query, e *Endpoint) bool {
 	pace := e.Pace(q.Now)
 	if pace == 0 || q.BestPace == 0 {
-		return !q.Paced
+		return !q.RequirePace
 	}
 	return float64(pace) <= AlikePaces*float64(q.BestPace)
 }
