--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -119,12 +119,12 @@
 // replica's token bucket at all times; callers' requests do while replicas may have turned cold of which
 // this node can't have heard.
 func (n *Node) guard(query *endpoint.Query, service string) {
-	query.ColdLasts, query.Permit = 0, nil
+	query.ColdPeriod, query.Permit = 0, nil
 	bound, ok := n.coldBound(service)
 	if !ok {
 		return
 	}
-	query.ColdLasts = bound.Lasts
+	query.ColdPeriod = bound.Lasts
 	if query.Unguarded || query.MaxLoad == 0 && n.DiscoveryAge(query.Now) < unconfirmedAfter {
 		return
 	}
--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -88,7 +88,7 @@
 		if !ok {
 			continue
 		}
-		query.ColdLasts = bound.Lasts
+		query.ColdPeriod = bound.Lasts
 		query.Permit = nil
 		if endpoint.Requests.Choose(query, n.endpoints.Pool(service)) == nil {
 			continue
@@ -138,6 +138,6 @@
 func (n *Node) stillUsable(call *coldCall, chosen *endpoint.Endpoint) bool {
 	call.query.Homes = n.Homes(call.route, call.tenant)
 	query := *call.query
-	query.ColdLasts, query.OnlyCold, query.Permit = 0, false, nil
+	query.ColdPeriod, query.OnlyCold, query.Permit = 0, false, nil
 	return n.endpoints.Find(chosen.ID) == chosen && endpoint.Requests.Pick(&query, []*endpoint.Endpoint{chosen}) != nil
 }
--- a/internal/process/endpoint/cold.go
+++ b/internal/process/endpoint/cold.go
@@ -42,10 +42,10 @@
 // Warmth is a filter that keeps warm endpoints, or only cold ones if OnlyCold is set. Without a cold
 // period every endpoint is warm.
 func Warmth(q *Query, e *Endpoint) bool {
-	if q.ColdLasts == 0 {
+	if q.ColdPeriod == 0 {
 		return !q.OnlyCold
 	}
-	return e.Cold(q.Now, q.ColdLasts) == q.OnlyCold
+	return e.Cold(q.Now, q.ColdPeriod) == q.OnlyCold
 }
 
 // Permitted drops endpoints that the node may not send to at present.
--- a/internal/process/endpoint/cold_test.go
+++ b/internal/process/endpoint/cold_test.go
@@ -57,8 +57,8 @@
 		query      Query
 		warm, cold bool
 	}{
-		{"warm endpoints", Query{Now: now, ColdLasts: time.Second}, true, false},
-		{"cold endpoints", Query{Now: now, ColdLasts: time.Second, OnlyCold: true}, false, true},
+		{"warm endpoints", Query{Now: now, ColdPeriod: time.Second}, true, false},
+		{"cold endpoints", Query{Now: now, ColdPeriod: time.Second, OnlyCold: true}, false, true},
 		{"no cold period", Query{Now: now}, true, true},
 		{"cold endpoints without a cold period", Query{Now: now, OnlyCold: true}, false, false},
 	} {
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -37,10 +37,10 @@
 	RequirePace bool
 	// AllowEjected includes ejected endpoints.
 	AllowEjected bool
-	// ColdLasts is how long a replica stays cold after its start, 0 if replicas accept full load at
+	// ColdPeriod is how long a replica stays cold after its start, 0 if replicas accept full load at
 	// once. OnlyCold selects cold endpoints only; otherwise only warm ones are selected.
-	ColdLasts time.Duration
-	OnlyCold  bool
+	ColdPeriod time.Duration
+	OnlyCold   bool
 	// Permit, if set, reports whether the node may currently send to an endpoint. Unguarded also
 	// includes endpoints that it may send to later. Look marks a query that is not followed by a send.
 	Permit          func(e *Endpoint) bool
