--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -125,7 +125,7 @@
 		return
 	}
 	query.ColdPeriod = bound.Lasts
-	if query.Unguarded || query.MaxLoad == 0 && n.DiscoveryAge(query.Now) < unconfirmedAfter {
+	if query.IncludeRateLimited || query.MaxLoad == 0 && n.DiscoveryAge(query.Now) < unconfirmedAfter {
 		return
 	}
 	items := query.MaxLoad > 0
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -163,7 +163,7 @@
 
 // roomLater reports whether there is an endpoint that lacks nothing but room.
 func (n *Node) roomLater(profile *endpoint.Profile, query endpoint.Query, order []string) bool {
-	query.MaxLoad, query.Unguarded = math.Inf(1), true
+	query.MaxLoad, query.IncludeRateLimited = math.Inf(1), true
 	return n.pickInOrder(profile, &query, order) != nil
 }
 
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -41,10 +41,10 @@
 	// once. OnlyCold selects cold endpoints only; otherwise only warm ones are selected.
 	ColdPeriod time.Duration
 	OnlyCold   bool
-	// Permit, if set, reports whether the node may currently send to an endpoint. Unguarded also
+	// Permit, if set, reports whether the node may currently send to an endpoint. IncludeRateLimited also
 	// includes endpoints that it may send to later. Look marks a query that is not followed by a send.
-	Permit          func(e *Endpoint) bool
-	Unguarded, Look bool
+	Permit                   func(e *Endpoint) bool
+	IncludeRateLimited, Look bool
 	// Rotation breaks ties and differs between choices.
 	Rotation uint64
 }
