--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -16,7 +16,7 @@
 // pickCold chooses a cold endpoint to which this node may send. Without one, an item has requests to
 // some of them claimed, for its next try; later reports whether one may be had then.
 func (n *Node) pickCold(profile *endpoint.Profile, query endpoint.Query, order []string) (chosen *endpoint.Endpoint, later bool) {
-	if query.Look {
+	if query.DryRun {
 		return nil, false
 	}
 	query.OnlyCold = true
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -28,7 +28,7 @@
 	query := n.query(now, wanted.Route, wanted.Tenant)
 	query.Model, query.MinVersion = wanted.Model, wanted.MinVersion
 	query.WalkStart = wanted.Model
-	query.Look = wanted.Look
+	query.DryRun = wanted.Look
 	query.Prefer = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
 	query.MaxLoad, query.RequirePace = rolloutRoom, wanted.Paced
@@ -53,7 +53,7 @@
 	service := route.Backends[0].Service
 	n.guard(query, service)
 	chosen := endpoint.FastRollouts.Choose(query, n.endpoints.Pool(service))
-	if chosen != nil && !query.Look {
+	if chosen != nil && !query.DryRun {
 		n.noteSend(query.Now, chosen, true)
 	}
 	return chosen
@@ -122,7 +122,7 @@
 // pick chooses an endpoint of the route's services, to which a request is sent right then.
 func (n *Node) pick(profile *endpoint.Profile, query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
 	chosen := n.choose(profile, query, route)
-	if chosen != nil && !query.Look {
+	if chosen != nil && !query.DryRun {
 		n.noteSend(query.Now, chosen, query.MaxLoad > 0)
 	}
 	return chosen
@@ -142,7 +142,7 @@
 	if chosen, later := n.pickCold(profile, *query, order); chosen != nil || later {
 		return chosen
 	}
-	if query.Look {
+	if query.DryRun {
 		// A run that goes on is not moved to where it would fail at once.
 		return nil
 	}
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -42,9 +42,9 @@
 	ColdPeriod time.Duration
 	OnlyCold   bool
 	// Permit, if set, reports whether the node may currently send to an endpoint. IncludeRateLimited also
-	// includes endpoints that it may send to later. Look marks a query that is not followed by a send.
-	Permit                   func(e *Endpoint) bool
-	IncludeRateLimited, Look bool
+	// includes endpoints that it may send to later. DryRun marks a query that is not followed by a send.
+	Permit                     func(e *Endpoint) bool
+	IncludeRateLimited, DryRun bool
 	// Rotation breaks ties and differs between choices.
 	Rotation uint64
 }
