--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -76,7 +76,7 @@
 var (
 	Requests = Profile{
 		filters:     []Filter{IsSchedulable, InHomes, NotExcluded, NotEjected, VersionReached},
-		scorers:     []weightedScorer{{LeastLoad, 4}, {Fast, 2}, {Near, 1}},
+		scorers:     []weightedScorer{{LeastLoad, 4}, {LowLatency, 2}, {Near, 1}},
 		lowestDelay: true,
 	}
 	Rollouts = Profile{
@@ -162,12 +162,12 @@
 	return min(max(1-float64(e.Tokens+q.Tokens)/float64(q.MemoryTokens), 0), 1)
 }
 
-// typicalLatency is the latency for which Fast is one half.
+// typicalLatency is the latency for which LowLatency is one half.
 const typicalLatency = 100 * time.Millisecond
 
-// Fast falls from 1 towards 0 as the endpoint's latency grows. An endpoint without a measured latency
+// LowLatency falls from 1 towards 0 as the endpoint's latency grows. An endpoint without a measured latency
 // scores 1, so that it is tried.
-func Fast(_ *Query, e *Endpoint) float64 {
+func LowLatency(_ *Query, e *Endpoint) float64 {
 	return float64(typicalLatency) / float64(typicalLatency+e.latency)
 }
 
