--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -61,7 +61,7 @@
 		got, want float64
 	}{
 		{"idle", LeastLoad(query, idle), 1}, {"all slots taken", LeastLoad(query, busy), 0.5},
-		{"fastest", Steady(query, idle), 1}, {"as slow as a full batch", Steady(query, batch), 1}, {"slow", Steady(query, slow), 0.56}, {"unknown pace", Steady(query, busy), 1},
+		{"fastest", FastPace(query, idle), 1}, {"as slow as a full batch", FastPace(query, batch), 1}, {"slow", FastPace(query, slow), 0.56}, {"unknown pace", FastPace(query, busy), 1},
 		{"free slot", FreeSlot(query, idle), 1}, {"no free slot", FreeSlot(query, busy), 0},
 		{"own zone", Near(query, idle), 1}, {"prompt cached", Preferred(query, busy), 1}, {"prompt not cached", Preferred(query, idle), 0},
 	} {
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -85,7 +85,7 @@
 	}
 	LongRollouts = Profile{
 		filters: Rollouts.filters,
-		scorers: []weightedScorer{{Steady, 8}, {LeastLoad, 4}, {FreeSlot, 3}, {FreeMemory, 6}, {Near, 0.1}},
+		scorers: []weightedScorer{{FastPace, 8}, {LeastLoad, 4}, {FreeSlot, 3}, {FreeMemory, 6}, {Near, 0.1}},
 	}
 	// FastRollouts is used for long items while the fastest endpoints have capacity.
 	FastRollouts = Profile{
@@ -175,9 +175,9 @@
 // is that much slower than a single run.
 const AlikePaces = 1.12
 
-// Steady is 1 for the fastest endpoints and falls towards 0 for slower ones. An endpoint of unknown
+// FastPace is 1 for the fastest endpoints and falls towards 0 for slower ones. An endpoint of unknown
 // pace scores 1, so that it is tried.
-func Steady(q *Query, e *Endpoint) float64 {
+func FastPace(q *Query, e *Endpoint) float64 {
 	pace := e.Pace(q.Now)
 	if pace == 0 || q.BestPace == 0 {
 		return 1
