--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -81,7 +81,7 @@
 	}
 	Rollouts = Profile{
 		filters: []Filter{IsSchedulable, InHomes, NotExcluded, NotEjected, VersionReached, NotLoading, HasRoom},
-		scorers: []weightedScorer{{LeastLoad, 4}, {Leisurely, 4}, {Preferred, 3}, {FreeSlot, 3}, {FreeMemory, 4}, {Near, 0.5}},
+		scorers: []weightedScorer{{LeastLoad, 4}, {SlowPace, 4}, {Preferred, 3}, {FreeSlot, 3}, {FreeMemory, 4}, {Near, 0.5}},
 	}
 	LongRollouts = Profile{
 		filters: Rollouts.filters,
@@ -189,9 +189,9 @@
 // than as slower hardware.
 const degradedPaceRatio = 1.7
 
-// Leisurely rises from 0 for the fastest endpoint to 0.4 for endpoints on slower hardware. It keeps the
+// SlowPace rises from 0 for the fastest endpoint to 0.4 for endpoints on slower hardware. It keeps the
 // fast endpoints free for long texts. A degraded endpoint scores 0.
-func Leisurely(q *Query, e *Endpoint) float64 {
+func SlowPace(q *Query, e *Endpoint) float64 {
 	pace := e.Pace(q.Now)
 	if pace == 0 || q.BestPace == 0 || float64(pace) > degradedPaceRatio*float64(q.BestPace) {
 		return 0
