--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -89,7 +89,7 @@
 	}
 	// FastRollouts is used for long items while the fastest endpoints have capacity.
 	FastRollouts = Profile{
-		filters: append(slices.Clone(Rollouts.filters), FastKind, HasSlot, HasMemory),
+		filters: append(slices.Clone(Rollouts.filters), AmongFastest, HasSlot, HasMemory),
 		scorers: LongRollouts.scorers,
 	}
 	ScoringCalls = Profile{
@@ -121,8 +121,8 @@
 	return float64(e.Load(q.Now)) < q.MaxLoad*float64(max(e.Slots, 1))
 }
 
-// FastKind drops endpoints that are known to be slower than the fastest.
-func FastKind(q *Query, e *Endpoint) bool {
+// AmongFastest drops endpoints that are known to be slower than the fastest.
+func AmongFastest(q *Query, e *Endpoint) bool {
 	pace := e.Pace(q.Now)
 	if pace == 0 || q.BestPace == 0 {
 		return !q.RequirePace
