--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -127,7 +127,7 @@
 	if pace == 0 || q.BestPace == 0 {
 		return !q.RequirePace
 	}
-	return float64(pace) <= AlikePaces*float64(q.BestPace)
+	return float64(pace) <= SimilarPaceRatio*float64(q.BestPace)
 }
 
 // HasSlot drops endpoints that have no free slot.
@@ -171,9 +171,9 @@
 	return float64(typicalLatency) / float64(typicalLatency+e.latency)
 }
 
-// AlikePaces is the factor of the best pace up to which endpoints count as equally fast. A full batch
+// SimilarPaceRatio is the factor of the best pace up to which endpoints count as equally fast. A full batch
 // is that much slower than a single run.
-const AlikePaces = 1.12
+const SimilarPaceRatio = 1.12
 
 // FastPace is 1 for the fastest endpoints and falls towards 0 for slower ones. An endpoint of unknown
 // pace scores 1, so that it is tried.
@@ -182,7 +182,7 @@
 	if pace == 0 || q.BestPace == 0 {
 		return 1
 	}
-	return min(AlikePaces*float64(q.BestPace)/float64(pace), 1)
+	return min(SimilarPaceRatio*float64(q.BestPace)/float64(pace), 1)
 }
 
 // degradedPaceRatio is the factor of the best pace above which an endpoint counts as degraded rather
--- a/internal/version/rollout/exchange.go
+++ b/internal/version/rollout/exchange.go
@@ -102,7 +102,7 @@
 // those of one with fast replicas.
 func (x *exchanges) next(best time.Duration) (slow, fast *endpoint.Endpoint) {
 	isFast := func(e *endpoint.Endpoint) bool {
-		return x.nature[e] > 0 && float64(x.nature[e]) <= endpoint.AlikePaces*float64(best)
+		return x.nature[e] > 0 && float64(x.nature[e]) <= endpoint.SimilarPaceRatio*float64(best)
 	}
 	isSlow := func(e *endpoint.Endpoint) bool { return x.nature[e] > 0 && !isFast(e) }
 	for _, a := range x.byNeed(isSlow) {
