--- a/internal/process/endpoint/cold.go
+++ b/internal/process/endpoint/cold.go
@@ -39,9 +39,9 @@
 	return e.ColdUntil
 }
 
-// Warmth is a filter that keeps warm endpoints, or only cold ones if OnlyCold is set. Without a cold
+// MatchesColdState is a filter that keeps warm endpoints, or only cold ones if OnlyCold is set. Without a cold
 // period every endpoint is warm.
-func Warmth(q *Query, e *Endpoint) bool {
+func MatchesColdState(q *Query, e *Endpoint) bool {
 	if q.ColdPeriod == 0 {
 		return !q.OnlyCold
 	}
--- a/internal/process/endpoint/cold_test.go
+++ b/internal/process/endpoint/cold_test.go
@@ -62,8 +62,8 @@
 		{"no cold period", Query{Now: now}, true, true},
 		{"cold endpoints without a cold period", Query{Now: now, OnlyCold: true}, false, false},
 	} {
-		if Warmth(&c.query, warm) != c.warm || Warmth(&c.query, cold) != c.cold {
-			t.Errorf("%s: %t %t", c.name, Warmth(&c.query, warm), Warmth(&c.query, cold))
+		if MatchesColdState(&c.query, warm) != c.warm || MatchesColdState(&c.query, cold) != c.cold {
+			t.Errorf("%s: %t %t", c.name, MatchesColdState(&c.query, warm), MatchesColdState(&c.query, cold))
 		}
 	}
 }
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -252,7 +252,7 @@
 		}
 	}
 	// The limits on cold replicas apply to every profile.
-	return Warmth(q, candidate) && Permitted(q, candidate)
+	return MatchesColdState(q, candidate) && Permitted(q, candidate)
 }
 
 func (p *Profile) weightedScore(q *Query, candidate *Endpoint) float64 {
