--- a/internal/process/endpoint/pool.go
+++ b/internal/process/endpoint/pool.go
@@ -170,9 +170,9 @@
 // endpoints that follow the model's ring position until the model's need is met. All nodes select the
 // same endpoints, a membership change replaces only one of them, and each endpoint counts for one
 // model. Endpoints that get no new work are included but do not count towards the need. Services of up
-// to WholePass endpoints are returned completely.
+// to FullScanLimit endpoints are returned completely.
 func (p *Pool) WorkingSet(needs map[string]Need) []*Endpoint {
-	if p.Len() <= WholePass {
+	if p.Len() <= FullScanLimit {
 		return slices.DeleteFunc(slices.Clone(p.All()), func(e *Endpoint) bool { return len(e.Versions) == 0 })
 	}
 	taken := map[*Endpoint]bool{}
--- a/internal/process/endpoint/walk.go
+++ b/internal/process/endpoint/walk.go
@@ -11,8 +11,8 @@
 // (BenchmarkChoose), and repeated choices reuse endpoints that already hold the weights, cached prompts
 // and open connections.
 const (
-	// WholePass is the largest pool that a choice examines completely.
-	WholePass = 128
+	// FullScanLimit is the largest pool that a choice examines completely.
+	FullScanLimit = 128
 	// freeTarget is the number of eligible endpoints with a free slot at which a walk stops. It is
 	// large enough to include all zones and hardware types.
 	freeTarget = 32
@@ -38,7 +38,7 @@
 	if pool == nil {
 		return nil
 	}
-	if pool.Len() <= WholePass {
+	if pool.Len() <= FullScanLimit {
 		return p.Pick(q, pool.All())
 	}
 	w := walk{profile: p, query: q, usable: make([]*Endpoint, 0, freeTarget)}
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -206,8 +206,8 @@
 	if held := pool.WorkingSet(needs); len(held) != len(after)+1 {
 		t.Errorf("%d endpoints including one that gets no new work, want %d", len(held), len(after)+1)
 	}
-	_, small := newTestPool(WholePass)
-	if got := len(small.WorkingSet(needs)); got != WholePass {
+	_, small := newTestPool(FullScanLimit)
+	if got := len(small.WorkingSet(needs)); got != FullScanLimit {
 		t.Errorf("%d endpoints of a small service, want all", got)
 	}
 }
