--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -58,7 +58,7 @@
 
 // NoteConnection takes how long it took to open a connection to a replica's address.
 func (n *Node) NoteConnection(address string, took time.Duration) {
-	if one := n.endpoints.At(address); one != nil {
+	if one := n.endpoints.FindByAddress(address); one != nil {
 		n.distances.Note(one.Zone, took)
 	}
 }
--- a/internal/process/endpoint/registry.go
+++ b/internal/process/endpoint/registry.go
@@ -24,8 +24,8 @@
 // Find returns an endpoint by ID, nil if it is not listed.
 func (r *Registry) Find(id string) *Endpoint { return r.byID[id] }
 
-// At returns the endpoint most recently listed at an address, nil if there is none.
-func (r *Registry) At(address string) *Endpoint { return r.byAddress[address] }
+// FindByAddress returns the endpoint most recently listed at an address, nil if there is none.
+func (r *Registry) FindByAddress(address string) *Endpoint { return r.byAddress[address] }
 
 // All returns all endpoints sorted by ID.
 func (r *Registry) All() []*Endpoint {
