--- a/internal/process/cluster/lapse.go
+++ b/internal/process/cluster/lapse.go
@@ -58,7 +58,7 @@
 // store's absence would explain.
 func (n *Node) removeGone(now time.Time, gone port.GoneReplica, unusable bool) {
 	switch {
-	case n.endpoints.Outlives(gone):
+	case n.endpoints.HasNewerRecord(gone):
 	case unusable:
 		delete(n.lapses.kept, gone.ID)
 		n.noteReplica(now, n.endpoints.Remove(gone.ID))
--- a/internal/process/endpoint/incarnation_test.go
+++ b/internal/process/endpoint/incarnation_test.go
@@ -66,7 +66,7 @@
 	registry := NewRegistry()
 	registry.Put(newRecord(1000, 5, 1))
 	for revision, outlives := range map[int64]bool{4: true, 5: false, 6: false, 0: false} {
-		if got := registry.Outlives(port.GoneReplica{ID: "r", Revision: revision}); got != outlives {
+		if got := registry.HasNewerRecord(port.GoneReplica{ID: "r", Revision: revision}); got != outlives {
 			t.Errorf("removal at revision %d: newer record %t, want %t", revision, got, outlives)
 		}
 	}
--- a/internal/process/endpoint/registry.go
+++ b/internal/process/endpoint/registry.go
@@ -111,8 +111,8 @@
 	return !record.StartedAt.Equal(e.StartedAt) || record.Service != e.Service || record.Address != e.Address
 }
 
-// Outlives reports whether a listed replica has a newer record than a removed one.
-func (r *Registry) Outlives(gone port.GoneReplica) bool {
+// HasNewerRecord reports whether a listed replica has a newer record than a removed one.
+func (r *Registry) HasNewerRecord(gone port.GoneReplica) bool {
 	known := r.byID[gone.ID]
 	return known != nil && known.newerThan(gone.Revision)
 }
