--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -72,7 +72,7 @@
 func (n *Node) noteCold(now time.Time, put endpoint.Change) {
 	one := put.Endpoint
 	// Others may still take a replica that started again under its ID for the warm one that it was.
-	wasWarm := !put.Added && !now.Before(one.ColdUntil) || put.Former != nil && !now.Before(put.Former.ColdUntil)
+	wasWarm := !put.Added && !now.Before(one.ColdUntil) || put.Previous != nil && !now.Before(put.Previous.ColdUntil)
 	one.UpdateCold(now)
 	bound, ok := n.coldBound(one.Service)
 	if !ok || !now.Before(one.ColdUntil) || n.cold.known[one.ID] {
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -163,14 +163,14 @@
 		return
 	}
 	one := change.Endpoint
-	if change.Former != nil {
-		n.noteReplica(now, endpoint.Change{Endpoint: change.Former, Removed: true})
+	if change.Previous != nil {
+		n.noteReplica(now, endpoint.Change{Endpoint: change.Previous, Removed: true})
 	}
 	switch {
 	case change.Added && n.silentAdds:
 	case change.Added:
 		n.queue.Log(event.ReplicaAdded, "replica", one.ID, "service", one.Service, "address", one.Address, "zone", one.Zone,
-			"versions", fmt.Sprint(one.Versions), "leaving", one.Draining, "restarted", change.Former != nil)
+			"versions", fmt.Sprint(one.Versions), "leaving", one.Draining, "restarted", change.Previous != nil)
 	case change.Removed:
 		n.queue.Log(event.ReplicaRemoved, "replica", one.ID, "service", one.Service, "in_flight", one.InFlight)
 		n.queue.Add(task.Forget{Address: one.Address})
--- a/internal/process/endpoint/incarnation_test.go
+++ b/internal/process/endpoint/incarnation_test.go
@@ -45,7 +45,7 @@
 			first.RecordFailure(now)
 			change := registry.Put(c.second)
 			e := registry.Find("r")
-			if fresh := e != first; fresh != c.fresh || change.Added != c.fresh || (change.Former == first) != c.fresh {
+			if fresh := e != first; fresh != c.fresh || change.Added != c.fresh || (change.Previous == first) != c.fresh {
 				t.Fatalf("new endpoint %t, want %t; change %+v", fresh, c.fresh, change)
 			}
 			if e.Versions["m"] != c.version {
--- a/internal/process/endpoint/registry.go
+++ b/internal/process/endpoint/registry.go
@@ -53,8 +53,8 @@
 	Endpoint *Endpoint
 	// Added, Unschedulable and Removed are all unset for other updates.
 	Added, Leaving, Removed bool
-	// Former is the previous incarnation that an added endpoint replaces, nil if there is none.
-	Former *Endpoint
+	// Previous is the previous incarnation that an added endpoint replaces, nil if there is none.
+	Previous *Endpoint
 }
 
 // Put applies a replica's record. Records older than the known one are ignored: a watch that resumes
@@ -70,7 +70,7 @@
 	if known.replacedBy(&record) {
 		r.Remove(record.ID)
 		change := r.add(record)
-		change.Former = known
+		change.Previous = known
 		return change
 	}
 	leaving := record.Draining && !known.Draining
