--- a/internal/process/cluster/workingset.go
+++ b/internal/process/cluster/workingset.go
@@ -22,7 +22,7 @@
 
 // modelNeeds is what models need of a service, as of takenAt.
 type modelNeeds struct {
-	byModel map[string]endpoint.Need
+	byModel map[string]endpoint.Demand
 	takenAt time.Time
 }
 
@@ -51,11 +51,11 @@
 		return
 	}
 	items := n.jobs.ItemsAtOnce(now)
-	n.needs = modelNeeds{byModel: make(map[string]endpoint.Need, len(models)), takenAt: now}
+	n.needs = modelNeeds{byModel: make(map[string]endpoint.Demand, len(models)), takenAt: now}
 	for _, model := range models {
-		n.needs.byModel[model] = endpoint.Need{Endpoints: leastReplicas}
+		n.needs.byModel[model] = endpoint.Demand{Endpoints: leastReplicas}
 	}
 	for model, count := range items {
-		n.needs.byModel[model] = endpoint.Need{Slots: int(math.Ceil(spareSlots * float64(count))), Endpoints: leastReplicas}
+		n.needs.byModel[model] = endpoint.Demand{Slots: int(math.Ceil(spareSlots * float64(count))), Endpoints: leastReplicas}
 	}
 }
--- a/internal/process/endpoint/pool.go
+++ b/internal/process/endpoint/pool.go
@@ -163,15 +163,15 @@
 	return best
 }
 
-// Need is the capacity that a model requires: a number of slots and a minimum number of endpoints.
-type Need struct{ Slots, Endpoints int }
+// Demand is the capacity that a model requires: a number of slots and a minimum number of endpoints.
+type Demand struct{ Slots, Endpoints int }
 
 // WorkingSet returns the endpoints that serve the models, sorted by ID. For each model it selects the
 // endpoints that follow the model's ring position until the model's need is met. All nodes select the
 // same endpoints, a membership change replaces only one of them, and each endpoint counts for one
 // model. Endpoints that get no new work are included but do not count towards the need. Services of up
 // to FullScanLimit endpoints are returned completely.
-func (p *Pool) WorkingSet(needs map[string]Need) []*Endpoint {
+func (p *Pool) WorkingSet(needs map[string]Demand) []*Endpoint {
 	if p.Len() <= FullScanLimit {
 		return slices.DeleteFunc(slices.Clone(p.All()), func(e *Endpoint) bool { return len(e.Versions) == 0 })
 	}
@@ -199,7 +199,7 @@
 	return set
 }
 
-func sortedModels(needs map[string]Need) []string {
+func sortedModels(needs map[string]Demand) []string {
 	models := make([]string, 0, len(needs))
 	for model := range needs {
 		models = append(models, model)
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -74,7 +74,7 @@
 		{"idle", func(*Registry, *Pool) {}, func(*Query) {}, freeTarget},
 		{"caller's request", func(*Registry, *Pool) {}, func(q *Query) { q.Model, q.MinVersion, q.WalkStart = "", 0, "node" }, freeTarget},
 		{"few endpoints have the version", func(_ *Registry, pool *Pool) {
-			for _, e := range pool.WorkingSet(map[string]Need{"m": {Endpoints: 20}}) {
+			for _, e := range pool.WorkingSet(map[string]Demand{"m": {Endpoints: 20}}) {
 				e.UpdateVersion("m", 2)
 			}
 		}, func(q *Query) { q.MinVersion = 2 }, 20},
@@ -85,7 +85,7 @@
 			}
 		}, func(*Query) {}, 2 * maxMisses},
 		{"some endpoints are full", func(_ *Registry, pool *Pool) {
-			for _, e := range pool.WorkingSet(map[string]Need{"m": {Endpoints: 50}}) {
+			for _, e := range pool.WorkingSet(map[string]Demand{"m": {Endpoints: 50}}) {
 				e.InFlight = 9
 			}
 		}, func(*Query) {}, 50 + freeTarget},
@@ -180,7 +180,7 @@
 // The working set depends on the demand rather than on the pool's size, counts each endpoint for one
 // model, and changes by one endpoint when one is removed.
 func TestWorkingSet(t *testing.T) {
-	needs := map[string]Need{"m": {Slots: 400}, "n": {Slots: 30, Endpoints: 12}}
+	needs := map[string]Demand{"m": {Slots: 400}, "n": {Slots: 30, Endpoints: 12}}
 	registry, pool := newTestPool(9625)
 	set := pool.WorkingSet(needs)
 	if want := 67 + 12; len(set) != want {
