--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -73,7 +73,7 @@
 		return recordwatch.Part
 	}
 	use.services, use.wanted = nil, firstReplicas
-	return recordwatch.Nothing
+	return recordwatch.ExtentNone
 }
 
 // leads reports whether this node holds a lease whose holder decides over replicas.
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -11,8 +11,8 @@
 type Extent int
 
 const (
-	// Nothing suspends the watch: it makes no calls and its records become stale.
-	Nothing Extent = iota
+	// ExtentNone suspends the watch: it makes no calls and its records become stale.
+	ExtentNone Extent = iota
 	// Part is a contiguous range of records and their changes.
 	Part
 	// Whole is the entire table and its changes.
@@ -81,7 +81,7 @@
 	wanted := w.wantedExtent(now)
 	reading := w.Reading()
 	switch {
-	case wanted == Nothing:
+	case wanted == ExtentNone:
 		w.suspend()
 		return true
 	case !w.current && !reading, w.known < wanted && (!reading || w.target < wanted):
