--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -70,7 +70,7 @@
 	case now.Before(use.neededUntil):
 		return recordwatch.Whole
 	case use.requests > 0 || now.Before(use.usedUntil):
-		return recordwatch.Part
+		return recordwatch.ExtentPart
 	}
 	use.services, use.wanted = nil, firstReplicas
 	return recordwatch.ExtentNone
@@ -112,7 +112,7 @@
 // ReplicasAwaited reports whether replicas for callers' requests are being read. While the store is away
 // requests go to those that were known before.
 func (n *Node) ReplicasAwaited() bool {
-	return !n.lapses.away && n.replicas.Awaited(recordwatch.Part)
+	return !n.lapses.away && n.replicas.Awaited(recordwatch.ExtentPart)
 }
 
 // MoreReplicasAwaited reports whether more replicas than those known are being read, as a choice found none
@@ -123,7 +123,7 @@
 
 // onStoreHealth notes that the store went away, or came back, while the list of replicas was not followed.
 func (n *Node) onStoreHealth(now time.Time, healthy bool) {
-	if !n.replicas.Follows(recordwatch.Part) {
+	if !n.replicas.Follows(recordwatch.ExtentPart) {
 		n.onReplicaHealth(now, healthy)
 	}
 }
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -222,7 +222,7 @@
 	origin := d.node.listOrigin()
 	for range 5 {
 		d.run(10 * time.Second)
-		if d.node.Ready(d.now); d.node.replicas.Follows(recordwatch.Part) {
+		if d.node.Ready(d.now); d.node.replicas.Follows(recordwatch.ExtentPart) {
 			t.Fatal("the list is followed ten seconds behind a request")
 		}
 		d.serve()
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -13,8 +13,8 @@
 const (
 	// ExtentNone suspends the watch: it makes no calls and its records become stale.
 	ExtentNone Extent = iota
-	// Part is a contiguous range of records and their changes.
-	Part
+	// ExtentPart is a contiguous range of records and their changes.
+	ExtentPart
 	// Whole is the entire table and its changes.
 	Whole
 )
@@ -67,7 +67,7 @@
 	case p == nil:
 		return Whole
 	case !w.everRead:
-		return max(p.Extent(now), Part)
+		return max(p.Extent(now), ExtentPart)
 	case w.known == Whole && p.Known() < p.Large:
 		return Whole
 	default:
@@ -106,13 +106,13 @@
 // ReadMore starts another partial read after the followed part has become insufficient, unless a read
 // is in progress.
 func (w *Watch) ReadMore(now time.Time) {
-	if !w.Follows(Part) || w.known == Whole || w.Reading() {
+	if !w.Follows(ExtentPart) || w.known == Whole || w.Reading() {
 		return
 	}
 	if w.watching {
 		w.abandonCall(now)
 	}
-	w.startRead(Part)
+	w.startRead(ExtentPart)
 	w.Tick(now)
 }
 
@@ -131,7 +131,7 @@
 func (w *Watch) startRead(extent Extent) {
 	w.target, w.firstRead, w.wrapped = extent, true, false
 	w.partition, w.records, w.startKey = 0, nil, ""
-	if extent == Part {
+	if extent == ExtentPart {
 		w.startKey = w.options.Partial.Begin()
 	}
 	w.nextKey = w.startKey
@@ -141,7 +141,7 @@
 // at the end of the table.
 func (w *Watch) nextRange() port.RecordRange {
 	query := port.RecordRange{Table: w.options.Table, Partition: w.options.Partitions[w.partition], From: w.nextKey}
-	if w.target == Part && w.everRead {
+	if w.target == ExtentPart && w.everRead {
 		query.Limit = partRecords
 	}
 	if w.wrapped {
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -120,7 +120,7 @@
 	w := &Watch{options: options, backoff: minBackoff, delay: options.Gather, relaxed: rate.NewLimiter(relaxedRate, relaxedBurst)}
 	w.startRead(Whole)
 	if options.Partial != nil {
-		w.startRead(Part)
+		w.startRead(ExtentPart)
 	}
 	return w
 }
@@ -221,7 +221,7 @@
 		w.wholeSince = now
 	}
 	w.known, w.current = w.target, true
-	if w.known == Part {
+	if w.known == ExtentPart {
 		w.options.Partial.OnPart(now)
 	} else {
 		w.options.OnList(now, records)
