--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -68,7 +68,7 @@
 	}
 	switch {
 	case now.Before(use.neededUntil):
-		return recordwatch.Whole
+		return recordwatch.ExtentFull
 	case use.requests > 0 || now.Before(use.usedUntil):
 		return recordwatch.ExtentPart
 	}
@@ -83,7 +83,9 @@
 
 // listsAll reports whether no replica is passed over that stands in the list: only then items are placed,
 // and the lease's holders decide. It is so as well before anything was read, as none is known then.
-func (n *Node) listsAll() bool { return !n.replicas.Read() || n.replicas.Follows(recordwatch.Whole) }
+func (n *Node) listsAll() bool {
+	return !n.replicas.Read() || n.replicas.Follows(recordwatch.ExtentFull)
+}
 
 // listedSince returns since when all replicas are known without a break, zero while they aren't.
 func (n *Node) listedSince() time.Time {
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -15,8 +15,8 @@
 	ExtentNone Extent = iota
 	// ExtentPart is a contiguous range of records and their changes.
 	ExtentPart
-	// Whole is the entire table and its changes.
-	Whole
+	// ExtentFull is the entire table and its changes.
+	ExtentFull
 )
 
 // Partial lets the watch of a large table with one partition follow only a part of it. In a large
@@ -54,7 +54,7 @@
 
 // Since returns since when the whole table has been followed continuously, zero if it is not.
 func (w *Watch) Since() time.Time {
-	if !w.Follows(Whole) {
+	if !w.Follows(ExtentFull) {
 		return time.Time{}
 	}
 	return w.wholeSince
@@ -65,11 +65,11 @@
 func (w *Watch) wantedExtent(now time.Time) Extent {
 	switch p := w.options.Partial; {
 	case p == nil:
-		return Whole
+		return ExtentFull
 	case !w.everRead:
 		return max(p.Extent(now), ExtentPart)
-	case w.known == Whole && p.Known() < p.Large:
-		return Whole
+	case w.known == ExtentFull && p.Known() < p.Large:
+		return ExtentFull
 	default:
 		return p.Extent(now)
 	}
@@ -106,7 +106,7 @@
 // ReadMore starts another partial read after the followed part has become insufficient, unless a read
 // is in progress.
 func (w *Watch) ReadMore(now time.Time) {
-	if !w.Follows(ExtentPart) || w.known == Whole || w.Reading() {
+	if !w.Follows(ExtentPart) || w.known == ExtentFull || w.Reading() {
 		return
 	}
 	if w.watching {
@@ -154,13 +154,13 @@
 func (w *Watch) continueRead(result port.RecordResult) bool {
 	if result.More && len(result.Records) > 0 {
 		w.nextKey = result.Records[len(result.Records)-1].Key + "\x00"
-		return w.target == Whole || !w.options.Partial.Enough(w.records)
+		return w.target == ExtentFull || !w.options.Partial.Enough(w.records)
 	}
 	if w.startKey != "" && !w.wrapped {
 		w.nextKey, w.wrapped = "", true
 		return !w.options.Partial.Enough(w.records)
 	}
 	// The read has reached the end of the table and is complete.
-	w.target = Whole
+	w.target = ExtentFull
 	return false
 }
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -118,7 +118,7 @@
 func New(options Options) *Watch {
 	options.MostGather = max(options.MostGather, options.Gather)
 	w := &Watch{options: options, backoff: minBackoff, delay: options.Gather, relaxed: rate.NewLimiter(relaxedRate, relaxedBurst)}
-	w.startRead(Whole)
+	w.startRead(ExtentFull)
 	if options.Partial != nil {
 		w.startRead(ExtentPart)
 	}
@@ -217,7 +217,7 @@
 	w.readFinishedAt, w.observedAt = now, w.firstAnswerAt
 	w.recordCount = len(records)
 	w.everRead = true
-	if w.target == Whole && !w.Follows(Whole) {
+	if w.target == ExtentFull && !w.Follows(ExtentFull) {
 		w.wholeSince = now
 	}
 	w.known, w.current = w.target, true
