--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -19,9 +19,9 @@
 	ExtentFull
 )
 
-// Partial lets the watch of a large table with one partition follow only a part of it. In a large
+// PartialOptions lets the watch of a large table with one partition follow only a part of it. In a large
 // fleet, having every node follow every replica would overload the store's network links.
-type Partial struct {
+type PartialOptions struct {
 	// Large is the number of records from which a table may be followed partially.
 	Large int
 	// Extent returns how much of the table should be followed.
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -54,8 +54,8 @@
 	// Relaxed, if set, reports whether the node can tolerate late changes. Calls that return changes
 	// are then rate limited.
 	Relaxed func(now time.Time) bool
-	// Partial, if set, allows following only a part of the table.
-	Partial *Partial
+	// PartialOptions, if set, allows following only a part of the table.
+	Partial *PartialOptions
 	// Jitter, from 0 to 1, spreads the nodes' calls after refusals and, with a Distance, after
 	// failures.
 	Jitter float64
