--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -22,8 +22,8 @@
 // PartialOptions lets the watch of a large table with one partition follow only a part of it. In a large
 // fleet, having every node follow every replica would overload the store's network links.
 type PartialOptions struct {
-	// Large is the number of records from which a table may be followed partially.
-	Large int
+	// MinRecords is the number of records from which a table may be followed partially.
+	MinRecords int
 	// Extent returns how much of the table should be followed.
 	Extent func(now time.Time) Extent
 	// Known returns the number of known records.
@@ -68,7 +68,7 @@
 		return ExtentFull
 	case !w.everRead:
 		return max(p.Extent(now), ExtentPart)
-	case w.known == ExtentFull && p.Known() < p.Large:
+	case w.known == ExtentFull && p.Known() < p.MinRecords:
 		return ExtentFull
 	default:
 		return p.Extent(now)
