--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -55,7 +55,7 @@
 // partialList lets the watch of the list of replicas know what this node has use for.
 func (n *Node) partialList(table string) *recordwatch.PartialOptions {
 	return &recordwatch.PartialOptions{
-		MinRecords: n.options.largeList(), Extent: n.replicaExtent, Known: n.endpoints.Len, Begin: n.listOrigin, Enough: n.enoughListed,
+		MinRecords: n.options.largeList(), Extent: n.replicaExtent, Known: n.endpoints.Len, StartKey: n.listOrigin, Enough: n.enoughListed,
 		OnPart: func(now time.Time) { n.onSomeReplicas(now, table) },
 	}
 }
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -28,10 +28,10 @@
 	Extent func(now time.Time) Extent
 	// Known returns the number of known records.
 	Known func() int
-	// Begin returns the key at which a partial read starts. Enough receives all records read from there
+	// StartKey returns the key at which a partial read starts. Enough receives all records read from there
 	// and reports whether they suffice as a part; if not, the read continues, up to the whole table.
-	Begin  func() string
-	Enough func(records []port.Record) bool
+	StartKey func() string
+	Enough   func(records []port.Record) bool
 	// OnPart is called when the records last passed to Enough become the followed part. Records outside
 	// of it are stale.
 	OnPart func(now time.Time)
@@ -132,7 +132,7 @@
 	w.target, w.firstRead, w.wrapped = extent, true, false
 	w.partition, w.records, w.startKey = 0, nil, ""
 	if extent == ExtentPart {
-		w.startKey = w.options.Partial.Begin()
+		w.startKey = w.options.Partial.StartKey()
 	}
 	w.nextKey = w.startKey
 }
