--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -114,7 +114,7 @@
 // ReplicasAwaited reports whether replicas for callers' requests are being read. While the store is away
 // requests go to those that were known before.
 func (n *Node) ReplicasAwaited() bool {
-	return !n.lapses.away && n.replicas.Awaited(recordwatch.ExtentPart)
+	return !n.lapses.away && n.replicas.Pending(recordwatch.ExtentPart)
 }
 
 // MoreReplicasAwaited reports whether more replicas than those known are being read, as a choice found none
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -45,9 +45,9 @@
 // unreachable, it reports the state as of the last contact.
 func (w *Watch) Follows(extent Extent) bool { return w.current && w.known >= extent }
 
-// Awaited reports whether the watch does not follow this much of the table yet but can be expected to
+// Pending reports whether the watch does not follow this much of the table yet but can be expected to
 // do so soon, as the store is answering.
-func (w *Watch) Awaited(extent Extent) bool { return !w.Follows(extent) && !w.failing }
+func (w *Watch) Pending(extent Extent) bool { return !w.Follows(extent) && !w.failing }
 
 // Reading reports whether a read of the table or a part of it is in progress.
 func (w *Watch) Reading() bool { return w.partition < len(w.options.Partitions) }
