--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -89,7 +89,7 @@
 
 // listedSince returns since when all replicas are known without a break, zero while they aren't.
 func (n *Node) listedSince() time.Time {
-	since := n.replicas.Since()
+	since := n.replicas.FollowedSince()
 	if since.IsZero() || n.lapses.listedSince.IsZero() {
 		return time.Time{}
 	}
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -52,8 +52,8 @@
 // Reading reports whether a read of the table or a part of it is in progress.
 func (w *Watch) Reading() bool { return w.partition < len(w.options.Partitions) }
 
-// Since returns since when the whole table has been followed continuously, zero if it is not.
-func (w *Watch) Since() time.Time {
+// FollowedSince returns since when the whole table has been followed continuously, zero if it is not.
+func (w *Watch) FollowedSince() time.Time {
 	if !w.Follows(ExtentFull) {
 		return time.Time{}
 	}
