--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -239,5 +239,5 @@
 	for _, backend := range route.Backends {
 		n.replicaUse.wanted = max(n.replicaUse.wanted, 2*len(n.endpoints.Service(backend.Service)))
 	}
-	n.replicas.ReadMore(now)
+	n.replicas.RereadPart(now)
 }
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -103,9 +103,9 @@
 	w.busy, w.watching, w.nextAt = false, false, now
 }
 
-// ReadMore starts another partial read after the followed part has become insufficient, unless a read
+// RereadPart starts another partial read after the followed part has become insufficient, unless a read
 // is in progress.
-func (w *Watch) ReadMore(now time.Time) {
+func (w *Watch) RereadPart(now time.Time) {
 	if !w.Follows(ExtentPart) || w.known == ExtentFull || w.Reading() {
 		return
 	}
