--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -48,9 +48,9 @@
 	// Reread is the interval of full reads, which detect changes that the watch missed. With 0, the
 	// table is only read again after failures.
 	Reread time.Duration
-	// Gather is the delay between calls, which batches changes. Refusals increase it up to MostGather,
+	// Gather is the delay between calls, which batches changes. Refusals increase it up to MaxDelay,
 	// as all nodes share the store's capacity. If both are equal, the delay is fixed.
-	Gather, MostGather time.Duration
+	Gather, MaxDelay time.Duration
 	// Relaxed, if set, reports whether the node can tolerate late changes. Calls that return changes
 	// are then rate limited.
 	Relaxed func(now time.Time) bool
@@ -116,7 +116,7 @@
 
 // New returns a watch that has not read its table yet.
 func New(options Options) *Watch {
-	options.MostGather = max(options.MostGather, options.Gather)
+	options.MaxDelay = max(options.MaxDelay, options.Gather)
 	w := &Watch{options: options, backoff: minBackoff, delay: options.Gather, relaxed: rate.NewLimiter(relaxedRate, relaxedBurst)}
 	w.startRead(ExtentFull)
 	if options.Partial != nil {
@@ -256,7 +256,7 @@
 	if !w.refusing {
 		// Further refusals of the same call do not increase the delay: an unavailable store refuses
 		// every call.
-		w.delay = min(max(2*w.delay, w.delay+delayStep), w.options.MostGather)
+		w.delay = min(max(2*w.delay, w.delay+delayStep), w.options.MaxDelay)
 		w.refusing = true
 	}
 	if w.healthy && now.Sub(w.lastAnswerAt) > refusalTimeout {
--- a/internal/process/recordwatch/recordwatch_test.go
+++ b/internal/process/recordwatch/recordwatch_test.go
@@ -155,7 +155,7 @@
 		now := time.Unix(1000, 0)
 		queue := &task.Queue{}
 		w := New(Options{
-			Table: "t", Queue: queue, Gather: gather, MostGather: c.most, OnList: func(time.Time, []port.Record) {},
+			Table: "t", Queue: queue, Gather: gather, MaxDelay: c.most, OnList: func(time.Time, []port.Record) {},
 			OnChange: func(time.Time, []port.Record) {}, OnHealth: func(time.Time, bool) {},
 		})
 		answer := func(status port.RecordStatus) time.Duration {
