--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -45,7 +45,7 @@
 		}
 		if n.listsReplicas(table) {
 			options.Wait, options.Reread = usualWait, replicaReread
-			options.Gather, options.MaxDelay = replicaGather, mostReplicaGather
+			options.MinDelay, options.MaxDelay = replicaGather, mostReplicaGather
 			options.OnHealth = n.onReplicaHealth
 			options.Relaxed = n.relaxed
 			options.Partial = n.partialList(table)
@@ -59,7 +59,7 @@
 	}
 	n.shared = recordwatch.New(recordwatch.Options{
 		Table: port.SharedTable, Partitions: partitions, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeDistance(),
-		Wait: usualWait, Reread: sharedReread, Gather: sharedGather, MaxDelay: mostSharedGather,
+		Wait: usualWait, Reread: sharedReread, MinDelay: sharedGather, MaxDelay: mostSharedGather,
 		OnList: n.onSharedList, OnChange: n.onShared, OnHealth: n.onSharedHealth,
 		Relaxed: n.unhurried,
 	})
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -48,9 +48,9 @@
 	// Reread is the interval of full reads, which detect changes that the watch missed. With 0, the
 	// table is only read again after failures.
 	Reread time.Duration
-	// Gather is the delay between calls, which batches changes. Refusals increase it up to MaxDelay,
+	// MinDelay is the delay between calls, which batches changes. Refusals increase it up to MaxDelay,
 	// as all nodes share the store's capacity. If both are equal, the delay is fixed.
-	Gather, MaxDelay time.Duration
+	MinDelay, MaxDelay time.Duration
 	// Relaxed, if set, reports whether the node can tolerate late changes. Calls that return changes
 	// are then rate limited.
 	Relaxed func(now time.Time) bool
@@ -116,8 +116,8 @@
 
 // New returns a watch that has not read its table yet.
 func New(options Options) *Watch {
-	options.MaxDelay = max(options.MaxDelay, options.Gather)
-	w := &Watch{options: options, backoff: minBackoff, delay: options.Gather, relaxed: rate.NewLimiter(relaxedRate, relaxedBurst)}
+	options.MaxDelay = max(options.MaxDelay, options.MinDelay)
+	w := &Watch{options: options, backoff: minBackoff, delay: options.MinDelay, relaxed: rate.NewLimiter(relaxedRate, relaxedBurst)}
 	w.startRead(ExtentFull)
 	if options.Partial != nil {
 		w.startRead(ExtentPart)
@@ -245,7 +245,7 @@
 func (w *Watch) resetDelays(now time.Time) {
 	w.refusing = false
 	w.backoff = max(minBackoff, w.backoff*3/4)
-	w.delay = max(w.options.Gather, time.Duration(delayDecay*float64(w.delay)))
+	w.delay = max(w.options.MinDelay, time.Duration(delayDecay*float64(w.delay)))
 }
 
 // handleRefusal retries the same call later. No changes are missed, but the watch becomes unhealthy if
--- a/internal/process/recordwatch/recordwatch_test.go
+++ b/internal/process/recordwatch/recordwatch_test.go
@@ -155,7 +155,7 @@
 		now := time.Unix(1000, 0)
 		queue := &task.Queue{}
 		w := New(Options{
-			Table: "t", Queue: queue, Gather: gather, MaxDelay: c.most, OnList: func(time.Time, []port.Record) {},
+			Table: "t", Queue: queue, MinDelay: gather, MaxDelay: c.most, OnList: func(time.Time, []port.Record) {},
 			OnChange: func(time.Time, []port.Record) {}, OnHealth: func(time.Time, bool) {},
 		})
 		answer := func(status port.RecordStatus) time.Duration {
@@ -193,7 +193,7 @@
 	start := time.Unix(1000, 0)
 	queue := &task.Queue{}
 	w := New(Options{
-		Table: "t", Queue: queue, Gather: time.Second, OnList: func(time.Time, []port.Record) {},
+		Table: "t", Queue: queue, MinDelay: time.Second, OnList: func(time.Time, []port.Record) {},
 		OnChange: func(time.Time, []port.Record) {}, OnHealth: func(time.Time, bool) {},
 	})
 	w.Tick(start)
@@ -217,7 +217,7 @@
 
 func largeWatch(queue *task.Queue, relaxed func(time.Time) bool) *Watch {
 	return New(Options{
-		Table: "t", Partitions: []string{""}, Queue: queue, Wait: time.Second, Reread: rereadEvery, Gather: 20 * time.Millisecond, Relaxed: relaxed,
+		Table: "t", Partitions: []string{""}, Queue: queue, Wait: time.Second, Reread: rereadEvery, MinDelay: 20 * time.Millisecond, Relaxed: relaxed,
 		OnList: func(time.Time, []port.Record) {}, OnChange: func(time.Time, []port.Record) {}, OnHealth: func(time.Time, bool) {},
 	})
 }
