--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -38,13 +38,13 @@
 	for _, table := range n.options.Decoder.DeploymentTables() {
 		options := recordwatch.Options{
 			Table: table, Partitions: []string{""}, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeDistance(),
-			Wait: configurationWait, Reread: configurationReread,
+			Wait: configurationWait, RereadInterval: configurationReread,
 			OnList:   func(now time.Time, records []port.Record) { n.onDeployment(now, table, records, true) },
 			OnChange: func(now time.Time, records []port.Record) { n.onDeployment(now, table, records, false) },
 			OnHealth: n.onStoreHealth,
 		}
 		if n.listsReplicas(table) {
-			options.Wait, options.Reread = usualWait, replicaReread
+			options.Wait, options.RereadInterval = usualWait, replicaReread
 			options.MinDelay, options.MaxDelay = replicaGather, mostReplicaGather
 			options.OnHealth = n.onReplicaHealth
 			options.Relaxed = n.relaxed
@@ -59,7 +59,7 @@
 	}
 	n.shared = recordwatch.New(recordwatch.Options{
 		Table: port.SharedTable, Partitions: partitions, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeDistance(),
-		Wait: usualWait, Reread: sharedReread, MinDelay: sharedGather, MaxDelay: mostSharedGather,
+		Wait: usualWait, RereadInterval: sharedReread, MinDelay: sharedGather, MaxDelay: mostSharedGather,
 		OnList: n.onSharedList, OnChange: n.onShared, OnHealth: n.onSharedHealth,
 		Relaxed: n.unhurried,
 	})
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -45,9 +45,9 @@
 	Queue      *task.Queue
 	// Wait is how long the store may hold a watch call.
 	Wait time.Duration
-	// Reread is the interval of full reads, which detect changes that the watch missed. With 0, the
+	// RereadInterval is the interval of full reads, which detect changes that the watch missed. With 0, the
 	// table is only read again after failures.
-	Reread time.Duration
+	RereadInterval time.Duration
 	// MinDelay is the delay between calls, which batches changes. Refusals increase it up to MaxDelay,
 	// as all nodes share the store's capacity. If both are equal, the delay is fixed.
 	MinDelay, MaxDelay time.Duration
@@ -290,7 +290,7 @@
 		w.nextAt = now.Add(max(w.delay, w.relaxedDelay(now)))
 	}
 	w.resetDelays(now)
-	if w.options.Reread > 0 && now.Sub(w.readFinishedAt) >= w.rereadAfter() {
+	if w.options.RereadInterval > 0 && now.Sub(w.readFinishedAt) >= w.rereadAfter() {
 		w.startRead(w.known)
 	}
 	w.Tick(now)
@@ -314,7 +314,7 @@
 // rereadAfter returns the interval until the next full read. It spreads the nodes' reads over half of
 // the interval, as nodes that reconnect at the same moment would otherwise read at the same moment.
 func (w *Watch) rereadAfter() time.Duration {
-	interval := max(w.options.Reread, time.Duration(w.recordCount)*rereadPerRecord)
+	interval := max(w.options.RereadInterval, time.Duration(w.recordCount)*rereadPerRecord)
 	return interval/2 + time.Duration(w.options.Jitter*float64(interval)/2)
 }
 
--- a/internal/process/recordwatch/recordwatch_test.go
+++ b/internal/process/recordwatch/recordwatch_test.go
@@ -87,7 +87,7 @@
 				return keys
 			}
 			w := New(Options{
-				Table: "t", Partitions: []string{"p0", "p1"}, Queue: queue, Wait: time.Second, Reread: rereadEvery,
+				Table: "t", Partitions: []string{"p0", "p1"}, Queue: queue, Wait: time.Second, RereadInterval: rereadEvery,
 				OnList:   func(_ time.Time, records []port.Record) { listed = names(records) },
 				OnChange: func(_ time.Time, records []port.Record) { changed = append(changed, names(records)...) },
 				OnHealth: func(_ time.Time, isHealthy bool) { healthy = isHealthy },
@@ -217,7 +217,7 @@
 
 func largeWatch(queue *task.Queue, relaxed func(time.Time) bool) *Watch {
 	return New(Options{
-		Table: "t", Partitions: []string{""}, Queue: queue, Wait: time.Second, Reread: rereadEvery, MinDelay: 20 * time.Millisecond, Relaxed: relaxed,
+		Table: "t", Partitions: []string{""}, Queue: queue, Wait: time.Second, RereadInterval: rereadEvery, MinDelay: 20 * time.Millisecond, Relaxed: relaxed,
 		OnList: func(time.Time, []port.Record) {}, OnChange: func(time.Time, []port.Record) {}, OnHealth: func(time.Time, bool) {},
 	})
 }
