--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -79,7 +79,7 @@
 // BeginReading notes that a caller waits for a change of a job, until EndReading is called.
 func (n *Node) BeginReading(now time.Time) {
 	n.readers++
-	n.shared.Hasten(now)
+	n.shared.SkipDelay(now)
 }
 
 // EndReading ends a wait that BeginReading began.
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -304,8 +304,8 @@
 	return w.relaxed.ReserveN(now, 1).DelayFrom(now)
 }
 
-// Hasten ends the delay of a relaxed watch because a caller is waiting for changes.
-func (w *Watch) Hasten(now time.Time) {
+// SkipDelay ends the delay of a relaxed watch because a caller is waiting for changes.
+func (w *Watch) SkipDelay(now time.Time) {
 	if !w.busy && !w.refusing && w.healthy && now.Before(w.nextAt) {
 		w.nextAt = now
 	}
--- a/internal/process/recordwatch/recordwatch_test.go
+++ b/internal/process/recordwatch/recordwatch_test.go
@@ -291,7 +291,7 @@
 	if got := run(10 * time.Second); got > 10*relaxedRate+relaxedBurst {
 		t.Errorf("%d calls in 10 s", got)
 	}
-	w.Hasten(now)
+	w.SkipDelay(now)
 	if got := run(3 * time.Millisecond); got != 1 {
 		t.Errorf("%d calls after Hasten, want 1", got)
 	}
