--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -155,7 +155,7 @@
 // observed returns the time up to which a change of the shared table would have been heard
 // of, zero before it was read.
 func (n *Node) observed(now time.Time) time.Time {
-	if !n.shared.Read() {
+	if !n.shared.HasRead() {
 		return time.Time{}
 	}
 	return n.shared.ObservedUntil(now)
@@ -250,7 +250,7 @@
 	}
 	answered := time.Time{}
 	for _, watch := range n.watches {
-		if !watch.Read() {
+		if !watch.HasRead() {
 			return false
 		}
 		if watch.AnswerAt().After(answered) {
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -84,7 +84,7 @@
 // listsAll reports whether no replica is passed over that stands in the list: only then items are placed,
 // and the lease's holders decide. It is so as well before anything was read, as none is known then.
 func (n *Node) listsAll() bool {
-	return !n.replicas.Read() || n.replicas.Follows(recordwatch.ExtentFull)
+	return !n.replicas.HasRead() || n.replicas.Follows(recordwatch.ExtentFull)
 }
 
 // listedSince returns since when all replicas are known without a break, zero while they aren't.
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -125,8 +125,8 @@
 	return w
 }
 
-// Read reports whether the table has been read at least once.
-func (w *Watch) Read() bool { return w.everRead }
+// HasRead reports whether the table has been read at least once.
+func (w *Watch) HasRead() bool { return w.everRead }
 
 // Healthy reports whether the last call succeeded.
 func (w *Watch) Healthy() bool { return w.healthy }
