--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -253,8 +253,8 @@
 		if !watch.HasRead() {
 			return false
 		}
-		if watch.AnswerAt().After(answered) {
-			answered = watch.AnswerAt()
+		if watch.LastAnswerAt().After(answered) {
+			answered = watch.LastAnswerAt()
 		}
 	}
 	return now.Sub(answered) <= unreadyAfter
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -131,8 +131,8 @@
 // Healthy reports whether the last call succeeded.
 func (w *Watch) Healthy() bool { return w.healthy }
 
-// AnswerAt returns the time of the store's last answer.
-func (w *Watch) AnswerAt() time.Time { return w.lastAnswerAt }
+// LastAnswerAt returns the time of the store's last answer.
+func (w *Watch) LastAnswerAt() time.Time { return w.lastAnswerAt }
 
 // Tick makes the next call if it is due.
 func (w *Watch) Tick(now time.Time) {
