--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -80,7 +80,7 @@
 	routes    *routes.Table
 	splitter  *routes.Splitter
 	endpoints *endpoint.Registry
-	distances *distance.Distances
+	distances *distance.Estimator
 	jobs      *batch.Jobs
 	// quarantine knows the requests that crash replicas.
 	quarantine *quarantine.Quarantine
--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -16,8 +16,8 @@
 	riseWeight = 0.1
 )
 
-// Distances holds the estimates of one node.
-type Distances struct {
+// Estimator holds the estimates of one node.
+type Estimator struct {
 	topology    port.Topology
 	multiRegion bool
 	// roundTrips are the estimates by zone. extraLatency is derived from them on each update, as it is
@@ -26,18 +26,18 @@
 }
 
 // New returns estimates without measurements.
-func New(topology port.Topology) *Distances {
-	d := &Distances{topology: topology, multiRegion: topology.Several(), roundTrips: map[string]time.Duration{}, extraLatency: map[string]time.Duration{}}
+func New(topology port.Topology) *Estimator {
+	d := &Estimator{topology: topology, multiRegion: topology.Several(), roundTrips: map[string]time.Duration{}, extraLatency: map[string]time.Duration{}}
 	d.update()
 	return d
 }
 
 // Several reports whether the deployment has more than one region.
-func (d *Distances) Several() bool { return d.multiRegion }
+func (d *Estimator) Several() bool { return d.multiRegion }
 
 // Note records the time taken to open a connection to a replica in a zone, which is one network round
 // trip.
-func (d *Distances) Note(zone string, roundTrip time.Duration) {
+func (d *Estimator) Note(zone string, roundTrip time.Duration) {
 	known, ok := d.roundTrips[zone]
 	if ok && roundTrip > known {
 		roundTrip = known + time.Duration(riseWeight*float64(roundTrip-known))
@@ -48,7 +48,7 @@
 
 // Away returns the additional round-trip time to a zone compared with the node's own region. Zones of
 // the node's own region have none.
-func (d *Distances) Away(zone string) time.Duration {
+func (d *Estimator) Away(zone string) time.Duration {
 	if !d.multiRegion {
 		return 0
 	}
@@ -58,7 +58,7 @@
 	return defaultDistance
 }
 
-func (d *Distances) update() {
+func (d *Estimator) update() {
 	d.extraLatency[d.topology.Zone] = 0
 	here, _ := d.minRoundTrip(d.topology.Region)
 	for zone, region := range d.topology.Regions {
@@ -75,7 +75,7 @@
 
 // roundTripTo returns the round trip to a zone or, if it has not been measured, the shortest one to its
 // region.
-func (d *Distances) roundTripTo(zone, region string) (time.Duration, bool) {
+func (d *Estimator) roundTripTo(zone, region string) (time.Duration, bool) {
 	if there, ok := d.roundTrips[zone]; ok {
 		return there, true
 	}
@@ -83,7 +83,7 @@
 }
 
 // minRoundTrip returns the shortest round trip to any zone of a region.
-func (d *Distances) minRoundTrip(region string) (time.Duration, bool) {
+func (d *Estimator) minRoundTrip(region string) (time.Duration, bool) {
 	least, found := time.Duration(0), false
 	for zone, roundTrip := range d.roundTrips {
 		if d.topology.RegionOf(zone) == region && (!found || roundTrip < least) {
