--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -59,7 +59,7 @@
 // NoteConnection takes how long it took to open a connection to a replica's address.
 func (n *Node) NoteConnection(address string, took time.Duration) {
 	if one := n.endpoints.FindByAddress(address); one != nil {
-		n.distances.Note(one.Zone, took)
+		n.distances.Observe(one.Zone, took)
 	}
 }
 
--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -35,9 +35,9 @@
 // Several reports whether the deployment has more than one region.
 func (d *Estimator) Several() bool { return d.multiRegion }
 
-// Note records the time taken to open a connection to a replica in a zone, which is one network round
+// Observe records the time taken to open a connection to a replica in a zone, which is one network round
 // trip.
-func (d *Estimator) Note(zone string, roundTrip time.Duration) {
+func (d *Estimator) Observe(zone string, roundTrip time.Duration) {
 	known, ok := d.roundTrips[zone]
 	if ok && roundTrip > known {
 		roundTrip = known + time.Duration(riseWeight*float64(roundTrip-known))
--- a/internal/process/distance/distance_test.go
+++ b/internal/process/distance/distance_test.go
@@ -14,9 +14,9 @@
 	if got := d.Away("c"); got != defaultDistance {
 		t.Errorf("unmeasured region: got %s, want the default", got)
 	}
-	d.Note("a", 2*time.Millisecond)
-	d.Note("b", 4*time.Millisecond)
-	d.Note("c", 42*time.Millisecond)
+	d.Observe("a", 2*time.Millisecond)
+	d.Observe("b", 4*time.Millisecond)
+	d.Observe("c", 42*time.Millisecond)
 	for zone, want := range map[string]time.Duration{
 		"a": 0, "b": 0, "c": 40 * time.Millisecond, "d": 40 * time.Millisecond, "e": defaultDistance, "nowhere": defaultDistance,
 	} {
@@ -29,19 +29,19 @@
 // A single slow connection has little effect, while a lasting change is followed.
 func TestEstimate(t *testing.T) {
 	d := New(topology)
-	d.Note("a", 0)
-	d.Note("c", 40*time.Millisecond)
-	d.Note("c", 140*time.Millisecond)
+	d.Observe("a", 0)
+	d.Observe("c", 40*time.Millisecond)
+	d.Observe("c", 140*time.Millisecond)
 	if got := d.Away("c"); got != 50*time.Millisecond {
 		t.Errorf("after one slow connection: got %s, want 50ms", got)
 	}
 	for range 30 {
-		d.Note("c", 140*time.Millisecond)
+		d.Observe("c", 140*time.Millisecond)
 	}
 	if got := d.Away("c"); got < 130*time.Millisecond {
 		t.Errorf("after many slow connections: got %s, want at least 130ms", got)
 	}
-	d.Note("c", 40*time.Millisecond)
+	d.Observe("c", 40*time.Millisecond)
 	if got := d.Away("c"); got != 40*time.Millisecond {
 		t.Errorf("after a fast connection: got %s, want 40ms", got)
 	}
@@ -50,7 +50,7 @@
 func TestOneRegion(t *testing.T) {
 	for _, one := range []port.Topology{{}, {Zone: "a"}, {Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "north"}}} {
 		d := New(one)
-		d.Note("b", time.Second)
+		d.Observe("b", time.Second)
 		if d.Several() || d.Away("b") != 0 || d.Away("unknown") != 0 {
 			t.Errorf("%+v: several %t, distance %s", one, d.Several(), d.Away("b"))
 		}
