--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -70,4 +70,4 @@
 }
 
 // Away returns how much longer the way to a zone and back is than within the own region.
-func (n *Node) Away(zone string) time.Duration { return n.distances.Away(zone) }
+func (n *Node) Away(zone string) time.Duration { return n.distances.ExtraLatency(zone) }
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -114,7 +114,7 @@
 		WalkStart: n.options.Name,
 	}
 	if n.distances.Several() {
-		query.ExtraLatency = n.distances.Away
+		query.ExtraLatency = n.distances.ExtraLatency
 	}
 	return query
 }
--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -46,9 +46,9 @@
 	d.update()
 }
 
-// Away returns the additional round-trip time to a zone compared with the node's own region. Zones of
+// ExtraLatency returns the additional round-trip time to a zone compared with the node's own region. Zones of
 // the node's own region have none.
-func (d *Estimator) Away(zone string) time.Duration {
+func (d *Estimator) ExtraLatency(zone string) time.Duration {
 	if !d.multiRegion {
 		return 0
 	}
--- a/internal/process/distance/distance_test.go
+++ b/internal/process/distance/distance_test.go
@@ -11,7 +11,7 @@
 
 func TestAway(t *testing.T) {
 	d := New(topology)
-	if got := d.Away("c"); got != defaultDistance {
+	if got := d.ExtraLatency("c"); got != defaultDistance {
 		t.Errorf("unmeasured region: got %s, want the default", got)
 	}
 	d.Observe("a", 2*time.Millisecond)
@@ -20,7 +20,7 @@
 	for zone, want := range map[string]time.Duration{
 		"a": 0, "b": 0, "c": 40 * time.Millisecond, "d": 40 * time.Millisecond, "e": defaultDistance, "nowhere": defaultDistance,
 	} {
-		if got := d.Away(zone); got != want {
+		if got := d.ExtraLatency(zone); got != want {
 			t.Errorf("zone %s: got %s, want %s", zone, got, want)
 		}
 	}
@@ -32,17 +32,17 @@
 	d.Observe("a", 0)
 	d.Observe("c", 40*time.Millisecond)
 	d.Observe("c", 140*time.Millisecond)
-	if got := d.Away("c"); got != 50*time.Millisecond {
+	if got := d.ExtraLatency("c"); got != 50*time.Millisecond {
 		t.Errorf("after one slow connection: got %s, want 50ms", got)
 	}
 	for range 30 {
 		d.Observe("c", 140*time.Millisecond)
 	}
-	if got := d.Away("c"); got < 130*time.Millisecond {
+	if got := d.ExtraLatency("c"); got < 130*time.Millisecond {
 		t.Errorf("after many slow connections: got %s, want at least 130ms", got)
 	}
 	d.Observe("c", 40*time.Millisecond)
-	if got := d.Away("c"); got != 40*time.Millisecond {
+	if got := d.ExtraLatency("c"); got != 40*time.Millisecond {
 		t.Errorf("after a fast connection: got %s, want 40ms", got)
 	}
 }
@@ -51,8 +51,8 @@
 	for _, one := range []port.Topology{{}, {Zone: "a"}, {Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "north"}}} {
 		d := New(one)
 		d.Observe("b", time.Second)
-		if d.Several() || d.Away("b") != 0 || d.Away("unknown") != 0 {
-			t.Errorf("%+v: several %t, distance %s", one, d.Several(), d.Away("b"))
+		if d.Several() || d.ExtraLatency("b") != 0 || d.ExtraLatency("unknown") != 0 {
+			t.Errorf("%+v: several %t, distance %s", one, d.Several(), d.ExtraLatency("b"))
 		}
 	}
 }
