--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -66,7 +66,7 @@
 // Elsewhere reports whether a replica lies in another region than this node.
 func (n *Node) Elsewhere(replica string) bool {
 	one := n.endpoints.Find(replica)
-	return one != nil && n.distances.Several() && one.Region != n.options.Topology.Region
+	return one != nil && n.distances.MultiRegion() && one.Region != n.options.Topology.Region
 }
 
 // Away returns how much longer the way to a zone and back is than within the own region.
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -113,7 +113,7 @@
 		Now: now, Zone: n.options.Topology.Zone, Region: n.options.Topology.Region, Homes: n.Homes(route, tenant), Rotation: n.rotation,
 		WalkStart: n.options.Name,
 	}
-	if n.distances.Several() {
+	if n.distances.MultiRegion() {
 		query.ExtraLatency = n.distances.ExtraLatency
 	}
 	return query
--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -32,8 +32,8 @@
 	return d
 }
 
-// Several reports whether the deployment has more than one region.
-func (d *Estimator) Several() bool { return d.multiRegion }
+// MultiRegion reports whether the deployment has more than one region.
+func (d *Estimator) MultiRegion() bool { return d.multiRegion }
 
 // Observe records the time taken to open a connection to a replica in a zone, which is one network round
 // trip.
--- a/internal/process/distance/distance_test.go
+++ b/internal/process/distance/distance_test.go
@@ -51,8 +51,8 @@
 	for _, one := range []port.Topology{{}, {Zone: "a"}, {Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "north"}}} {
 		d := New(one)
 		d.Observe("b", time.Second)
-		if d.Several() || d.ExtraLatency("b") != 0 || d.ExtraLatency("unknown") != 0 {
-			t.Errorf("%+v: several %t, distance %s", one, d.Several(), d.ExtraLatency("b"))
+		if d.MultiRegion() || d.ExtraLatency("b") != 0 || d.ExtraLatency("unknown") != 0 {
+			t.Errorf("%+v: several %t, distance %s", one, d.MultiRegion(), d.ExtraLatency("b"))
 		}
 	}
 }
