--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -18,76 +18,76 @@
 
 // Event numbers are never reused. Gaps belong to events of earlier versions.
 const (
-	ProcessStarted      = 100
-	ProcessStopping     = 101
-	ProcessStopped      = 102
-	SettingsReloaded    = 103
-	MachineResumed      = 104
-	ConfigurationHeld   = 300
-	RoutesApplied       = 310
-	LeaseAcquired       = 400
-	LeaseLost           = 401
-	LeaseReleased       = 402
-	StepDelivered       = 500
-	RequestAnswered     = 610
-	RequestRefused      = 611
-	AttemptEnded        = 612
-	ReplicaCrashed      = 613
-	RequestQuarantined  = 614
-	QuarantineTrial     = 615
-	QuarantineLifted    = 616
-	ReplicaLeaving      = 700
-	ReplicasListed      = 709
-	ReplicaAdded        = 710
-	ReplicaRemoved      = 711
-	ReplicaEjected      = 712
-	ReplicaLapsed       = 713
-	VersionNamed        = 720
-	VersionOrdered      = 721
-	VersionLoaded       = 722
-	ReportOfAnotherLife = 723
-	OrderProbed         = 724
-	ZoneEvacuated       = 730
-	EvacuationLifted    = 731
-	ReplicaCold         = 740
-	ReplicaWarm         = 741
-	ColdClaimed         = 742
-	ColdClaimDenied     = 743
-	ColdRowsCollected   = 744
-	JobLeavesRegion     = 750
-	JobUnserved         = 751
-	StoreLost           = 801
-	StoreRegained       = 802
-	RecordUnreadable    = 803
-	StoreDistance       = 805
-	NodesCounted        = 806
-	WatchRests          = 807
-	JobAccepted         = 900
-	JobRefused          = 901
-	JobTaken            = 902
-	JobDropped          = 903
-	JobCompleted        = 904
-	JobEnded            = 905
-	JobAssigned         = 906
-	JobCollected        = 907
-	JobGivenNearer      = 908
-	JobTakenAcross      = 909
-	ItemRetried         = 910
-	ItemTerminated      = 911
-	TextDiscarded       = 912
-	TextAdopted         = 914
-	ItemCompleted       = 915
-	JobRead             = 916
-	ScoringRetried      = 917
-	ItemScored          = 918
-	ScoringUnrouted     = 919
-	RunMoved            = 920
-	UsageGathered       = 950
-	UsageReported       = 951
-	UsageLost           = 952
-	UsageClockSet       = 953
-	ReplicasOrdered     = 960
-	LogLinesDropped     = 990
+	ProcessStarted           = 100
+	ProcessStopping          = 101
+	ProcessStopped           = 102
+	SettingsReloaded         = 103
+	MachineResumed           = 104
+	ConfigurationHeld        = 300
+	RoutesApplied            = 310
+	LeaseAcquired            = 400
+	LeaseLost                = 401
+	LeaseReleased            = 402
+	StepDelivered            = 500
+	RequestAnswered          = 610
+	RequestRefused           = 611
+	AttemptEnded             = 612
+	ReplicaCrashed           = 613
+	RequestQuarantined       = 614
+	QuarantineTrial          = 615
+	QuarantineLifted         = 616
+	ReplicaLeaving           = 700
+	ReplicasListed           = 709
+	ReplicaAdded             = 710
+	ReplicaRemoved           = 711
+	ReplicaEjected           = 712
+	ReplicaLapsed            = 713
+	VersionNamed             = 720
+	VersionOrdered           = 721
+	VersionLoaded            = 722
+	ReportOfOtherIncarnation = 723
+	OrderProbed              = 724
+	ZoneEvacuated            = 730
+	EvacuationLifted         = 731
+	ReplicaCold              = 740
+	ReplicaWarm              = 741
+	ColdClaimed              = 742
+	ColdClaimDenied          = 743
+	ColdRowsCollected        = 744
+	JobLeavesRegion          = 750
+	JobUnserved              = 751
+	StoreLost                = 801
+	StoreRegained            = 802
+	RecordUnreadable         = 803
+	StoreDistance            = 805
+	NodesCounted             = 806
+	WatchRests               = 807
+	JobAccepted              = 900
+	JobRefused               = 901
+	JobTaken                 = 902
+	JobDropped               = 903
+	JobCompleted             = 904
+	JobEnded                 = 905
+	JobAssigned              = 906
+	JobCollected             = 907
+	JobGivenNearer           = 908
+	JobTakenAcross           = 909
+	ItemRetried              = 910
+	ItemTerminated           = 911
+	TextDiscarded            = 912
+	TextAdopted              = 914
+	ItemCompleted            = 915
+	JobRead                  = 916
+	ScoringRetried           = 917
+	ItemScored               = 918
+	ScoringUnrouted          = 919
+	RunMoved                 = 920
+	UsageGathered            = 950
+	UsageReported            = 951
+	UsageLost                = 952
+	UsageClockSet            = 953
+	ReplicasOrdered          = 960
+	LogLinesDropped          = 990
 )
 
 // Entry describes one event.
@@ -128,7 +128,7 @@
 	{VersionNamed, Info, "version named", "A trainer announced a new version of a model."},
 	{VersionOrdered, Info, "version ordered", "The lease holder ordered a replica to load a version. status is the replica's answer."},
 	{VersionLoaded, Info, "version loaded", "The replica reports that it has loaded the ordered version."},
-	{ReportOfAnotherLife, Warn, "report of another incarnation", "The start times in the replica's report and in its record differ; both are given in Unix milliseconds. The report is not used as a basis for orders."},
+	{ReportOfOtherIncarnation, Warn, "report of another incarnation", "The start times in the replica's report and in its record differ; both are given in Unix milliseconds. The report is not used as a basis for orders."},
 	{OrderProbed, Info, "order path probed", "An order that changes nothing was sent before the first real order to a replica. status is the replica's answer. Without an answer the first order is delayed."},
 	{ZoneEvacuated, Warn, "zone evacuated", "The platform requested the evacuation of a zone. Its replicas get no new work. The number of replicas and of this node's requests in flight there is given; those requests may be terminated."},
 	{EvacuationLifted, Info, "evacuation lifted", "The replicas of the zone get work again. They may be cold."},
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -16,7 +16,7 @@
 		state.asking = false
 		if report.OK && ofAnotherLife(report, one) {
 			// It is no ground for an order: the other life's record is on the way.
-			r.options.Queue.Log(event.ReportOfAnotherLife, "replica", one.ID, "listed_start_ms", one.StartedAt.UnixMilli(), "told_start_ms", report.StartedAt.UnixMilli())
+			r.options.Queue.Log(event.ReportOfOtherIncarnation, "replica", one.ID, "listed_start_ms", one.StartedAt.UnixMilli(), "told_start_ms", report.StartedAt.UnixMilli())
 			report.OK = false
 		}
 		if !report.OK {
