--- a/internal/process/cluster/operators.go
+++ b/internal/process/cluster/operators.go
@@ -28,7 +28,7 @@
 		return
 	}
 	n.operators = decoded
-	n.queue.Log(event.ConfigurationHeld, "revision", decoded.Revision, "experiments", len(decoded.Experiments), "drains", len(decoded.Drains))
+	n.queue.Log(event.OperatorConfigurationApplied, "revision", decoded.Revision, "experiments", len(decoded.Experiments), "drains", len(decoded.Drains))
 	for _, e := range n.endpoints.All() {
 		e.OperatorDrained = n.holds(e)
 	}
--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -18,76 +18,76 @@
 
 // Event numbers are never reused. Gaps belong to events of earlier versions.
 const (
-	ProcessStarted           = 100
-	ProcessStopping          = 101
-	ProcessStopped           = 102
-	SettingsReloaded         = 103
-	MachineResumed           = 104
-	ConfigurationHeld        = 300
-	RoutesApplied            = 310
-	LeaseAcquired            = 400
-	LeaseLost                = 401
-	LeaseReleased            = 402
-	StepDelivered            = 500
-	RequestAnswered          = 610
-	RequestRefused           = 611
-	AttemptEnded             = 612
-	ReplicaCrashed           = 613
-	RequestQuarantined       = 614
-	QuarantineTrial          = 615
-	QuarantineLifted         = 616
-	ReplicaLeaving           = 700
-	ReplicasListed           = 709
-	ReplicaAdded             = 710
-	ReplicaRemoved           = 711
-	ReplicaEjected           = 712
-	ReplicaLapsed            = 713
-	VersionNamed             = 720
-	VersionOrdered           = 721
-	VersionLoaded            = 722
-	ReportOfOtherIncarnation = 723
-	OrderProbed              = 724
-	ZoneEvacuated            = 730
-	EvacuationLifted         = 731
-	ReplicaCold              = 740
-	ReplicaWarm              = 741
-	ColdClaimed              = 742
-	ColdClaimDenied          = 743
-	ColdRowsCollected        = 744
-	JobLeavesRegion          = 750
-	JobUnserved              = 751
-	StoreLost                = 801
-	StoreRegained            = 802
-	RecordUnreadable         = 803
-	StoreDistance            = 805
-	NodesCounted             = 806
-	WatchRests               = 807
-	JobAccepted              = 900
-	JobRefused               = 901
-	JobTaken                 = 902
-	JobDropped               = 903
-	JobCompleted             = 904
-	JobEnded                 = 905
-	JobAssigned              = 906
-	JobCollected             = 907
-	JobGivenNearer           = 908
-	JobTakenAcross           = 909
-	ItemRetried              = 910
-	ItemTerminated           = 911
-	TextDiscarded            = 912
-	TextAdopted              = 914
-	ItemCompleted            = 915
-	JobRead                  = 916
-	ScoringRetried           = 917
-	ItemScored               = 918
-	ScoringUnrouted          = 919
-	RunMoved                 = 920
-	UsageGathered            = 950
-	UsageReported            = 951
-	UsageLost                = 952
-	UsageClockSet            = 953
-	ReplicasOrdered          = 960
-	LogLinesDropped          = 990
+	ProcessStarted               = 100
+	ProcessStopping              = 101
+	ProcessStopped               = 102
+	SettingsReloaded             = 103
+	MachineResumed               = 104
+	OperatorConfigurationApplied = 300
+	RoutesApplied                = 310
+	LeaseAcquired                = 400
+	LeaseLost                    = 401
+	LeaseReleased                = 402
+	StepDelivered                = 500
+	RequestAnswered              = 610
+	RequestRefused               = 611
+	AttemptEnded                 = 612
+	ReplicaCrashed               = 613
+	RequestQuarantined           = 614
+	QuarantineTrial              = 615
+	QuarantineLifted             = 616
+	ReplicaLeaving               = 700
+	ReplicasListed               = 709
+	ReplicaAdded                 = 710
+	ReplicaRemoved               = 711
+	ReplicaEjected               = 712
+	ReplicaLapsed                = 713
+	VersionNamed                 = 720
+	VersionOrdered               = 721
+	VersionLoaded                = 722
+	ReportOfOtherIncarnation     = 723
+	OrderProbed                  = 724
+	ZoneEvacuated                = 730
+	EvacuationLifted             = 731
+	ReplicaCold                  = 740
+	ReplicaWarm                  = 741
+	ColdClaimed                  = 742
+	ColdClaimDenied              = 743
+	ColdRowsCollected            = 744
+	JobLeavesRegion              = 750
+	JobUnserved                  = 751
+	StoreLost                    = 801
+	StoreRegained                = 802
+	RecordUnreadable             = 803
+	StoreDistance                = 805
+	NodesCounted                 = 806
+	WatchRests                   = 807
+	JobAccepted                  = 900
+	JobRefused                   = 901
+	JobTaken                     = 902
+	JobDropped                   = 903
+	JobCompleted                 = 904
+	JobEnded                     = 905
+	JobAssigned                  = 906
+	JobCollected                 = 907
+	JobGivenNearer               = 908
+	JobTakenAcross               = 909
+	ItemRetried                  = 910
+	ItemTerminated               = 911
+	TextDiscarded                = 912
+	TextAdopted                  = 914
+	ItemCompleted                = 915
+	JobRead                      = 916
+	ScoringRetried               = 917
+	ItemScored                   = 918
+	ScoringUnrouted              = 919
+	RunMoved                     = 920
+	UsageGathered                = 950
+	UsageReported                = 951
+	UsageLost                    = 952
+	UsageClockSet                = 953
+	ReplicasOrdered              = 960
+	LogLinesDropped              = 990
 )
 
 // Entry describes one event.
@@ -106,7 +106,7 @@
 	{ProcessStopped, Info, "shutdown complete", "All work is finished or handed over, and the process exits."},
 	{SettingsReloaded, Info, "settings reloaded", "The settings file was reloaded on a signal. Changed settings that only take effect at a restart are listed."},
 	{MachineResumed, Warn, "machine resumed", "The machine was suspended for the given time. Orders and platform calls that were in progress have been aborted."},
-	{ConfigurationHeld, Info, "operator configuration applied", "The node now uses this revision of experiments and drains."},
+	{OperatorConfigurationApplied, Info, "operator configuration applied", "The node now uses this revision of experiments and drains."},
 	{RoutesApplied, Info, "routes applied", "The node now uses this version of the route table."},
 	{LeaseAcquired, Info, "lease acquired", "This node now holds the named lease, for version orders, usage reports or replica orders."},
 	{LeaseLost, Warn, "lease lost", "The lease has expired or is held by another node."},
