--- a/internal/process/cluster/lapse.go
+++ b/internal/process/cluster/lapse.go
@@ -47,7 +47,7 @@
 	if n.lapses.open(now) && n.endpoints.Find(id) != nil {
 		if !n.lapses.kept[id] {
 			n.lapses.kept[id] = true
-			n.queue.Log(event.ReplicaLapsed, "replica", id)
+			n.queue.Log(event.ReplicaRecordExpired, "replica", id)
 		}
 		return
 	}
--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -41,7 +41,7 @@
 	ReplicaAdded                 = 710
 	ReplicaRemoved               = 711
 	ReplicaEjected               = 712
-	ReplicaLapsed                = 713
+	ReplicaRecordExpired         = 713
 	VersionNamed                 = 720
 	VersionOrdered               = 721
 	VersionLoaded                = 722
@@ -124,7 +124,7 @@
 	{ReplicaAdded, Info, "replica added", "The replica was added to the list and can get work."},
 	{ReplicaRemoved, Info, "replica removed", "The replica was removed from the list."},
 	{ReplicaEjected, Warn, "replica ejected", "The replica failed repeatedly and temporarily gets no work."},
-	{ReplicaLapsed, Info, "replica record expired", "The replica's record expired while the record store was unavailable. The replica is kept unless its record is still missing two seconds after the store's return."},
+	{ReplicaRecordExpired, Info, "replica record expired", "The replica's record expired while the record store was unavailable. The replica is kept unless its record is still missing two seconds after the store's return."},
 	{VersionNamed, Info, "version named", "A trainer announced a new version of a model."},
 	{VersionOrdered, Info, "version ordered", "The lease holder ordered a replica to load a version. status is the replica's answer."},
 	{VersionLoaded, Info, "version loaded", "The replica reports that it has loaded the ordered version."},
