--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -70,7 +70,7 @@
 	JobEnded                     = 905
 	JobAssigned                  = 906
 	JobCollected                 = 907
-	JobGivenNearer               = 908
+	JobAssignedNearer            = 908
 	JobTakenAcross               = 909
 	ItemRetried                  = 910
 	ItemTerminated               = 911
@@ -153,7 +153,7 @@
 	{JobEnded, Info, "batch job ended", "The client needs no more results of the job."},
 	{JobAssigned, Info, "batch job assigned", "This node now runs the job's items. The node that accepted the job assigned it to the node that runs the model's other jobs."},
 	{JobCollected, Info, "batch job deleted", "The records of a finished job were deleted from the store. age_s is the time since its acceptance."},
-	{JobGivenNearer, Info, "batch job assigned to a nearer owner", "The latency of the record store is clearly higher for the default owner of the job than for this one."},
+	{JobAssignedNearer, Info, "batch job assigned to a nearer owner", "The latency of the record store is clearly higher for the default owner of the job than for this one."},
 	{JobTakenAcross, Info, "batch job taken over across regions", "The previous owner was in another region. The locations and latencies of both owners are given."},
 	{ItemRetried, Info, "item retried", "A run of the item did not complete. outcome, status and events give the reason and how much of the text is kept."},
 	{ItemTerminated, Warn, "item terminated", "The item was abandoned. reason gives the cause."},
--- a/internal/version/batch/preference.go
+++ b/internal/version/batch/preference.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if best != chosen {
-		j.options.Queue.Log(event.JobGivenNearer, "instead_of", chosen.name, "owner", best.name, "store_latency_ms", storeLatency(place).Milliseconds())
+		j.options.Queue.Log(event.JobAssignedNearer, "instead_of", chosen.name, "owner", best.name, "store_latency_ms", storeLatency(place).Milliseconds())
 	}
 	return best
 }
