--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -61,7 +61,7 @@
 	RecordUnreadable             = 803
 	StoreDistance                = 805
 	NodesCounted                 = 806
-	WatchRests                   = 807
+	WatchSuspended               = 807
 	JobAccepted                  = 900
 	JobRefused                   = 901
 	JobTaken                     = 902
@@ -144,7 +144,7 @@
 	{RecordUnreadable, Error, "record unreadable", "A record of the store cannot be decoded and is ignored."},
 	{StoreDistance, Info, "record store latency changed", "The node's estimate of the latency of record store calls has doubled or halved since it was last logged. Latencies below 50 ms are not logged."},
 	{NodesCounted, Info, "nodes counted", "The number of nodes that recently announced themselves, as counted by the holder of the order lease. Takeovers are spread over time accordingly."},
-	{WatchRests, Info, "watch suspended", "This node currently does not need a large table. It does not follow the table's changes and reads it again before use."},
+	{WatchSuspended, Info, "watch suspended", "This node currently does not need a large table. It does not follow the table's changes and reads it again before use."},
 	{JobAccepted, Info, "batch job accepted", "The job is stored in the record store and its acceptance was confirmed to the client."},
 	{JobRefused, Warn, "batch job refused", "The job was not accepted. outcome tells whether it may nevertheless be in the store."},
 	{JobTaken, Info, "batch job taken over", "This node now runs the job's items. The previous owner stopped responding or handed the job over."},
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -124,7 +124,7 @@
 	}
 	w.current, w.failing = false, false
 	w.partition, w.records, w.nextAt = none, nil, time.Time{}
-	w.options.Queue.Log(event.WatchRests, "table", w.options.Table, "revision", w.revision)
+	w.options.Queue.Log(event.WatchSuspended, "table", w.options.Table, "revision", w.revision)
 }
 
 // startRead starts a read of the given extent.
