--- a/internal/process/coldstart/collect.go
+++ b/internal/process/coldstart/collect.go
@@ -59,7 +59,7 @@
 	}
 	g.options.Queue.Add(task.Commit{Transaction: transaction, Done: func(_ time.Time, result port.RecordResult) {
 		if result.Status == port.RecordDone {
-			g.options.Queue.Log(event.ColdRowsCollected, "rows", len(transaction.Deletes))
+			g.options.Queue.Log(event.ColdWindowsDeleted, "rows", len(transaction.Deletes))
 		}
 	}})
 }
--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -53,7 +53,7 @@
 	ReplicaWarm                  = 741
 	ColdClaimed                  = 742
 	ColdClaimDenied              = 743
-	ColdRowsCollected            = 744
+	ColdWindowsDeleted           = 744
 	JobLeavesRegion              = 750
 	JobUnserved                  = 751
 	StoreLost                    = 801
@@ -136,7 +136,7 @@
 	{ReplicaWarm, Info, "replica warm", "The replica is no longer cold according to its record."},
 	{ColdClaimed, Info, "cold replica capacity claimed", "This node claimed requests from a cold replica's window. taken is the number claimed by all nodes, until_ms the end of the window by the store's clock."},
 	{ColdClaimDenied, Info, "cold replica capacity not available", "No request to a cold replica could be claimed. wait_ms is the time until one may be available."},
-	{ColdRowsCollected, Info, "cold replica windows deleted", "The windows of removed replicas were deleted from the store."},
+	{ColdWindowsDeleted, Info, "cold replica windows deleted", "The windows of removed replicas were deleted from the store."},
 	{JobLeavesRegion, Info, "batch job must leave the region", "A newer configuration excludes this node's region from the job's home regions. The job is handed over to a node in one of them."},
 	{JobUnserved, Warn, "batch job has no replica in its home regions", "The job's home regions have no replica. Its items wait for one until they may be abandoned."},
 	{StoreLost, Warn, "record store lost", "A watch of the record store failed. The node continues with the records it has and reads the table again."},
