--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -69,7 +69,7 @@
 	JobCompleted                 = 904
 	JobEnded                     = 905
 	JobAssigned                  = 906
-	JobCollected                 = 907
+	JobDeleted                   = 907
 	JobAssignedNearer            = 908
 	JobTakenAcross               = 909
 	ItemRetried                  = 910
@@ -152,7 +152,7 @@
 	{JobCompleted, Info, "batch job completed", "All items of the job have a position."},
 	{JobEnded, Info, "batch job ended", "The client needs no more results of the job."},
 	{JobAssigned, Info, "batch job assigned", "This node now runs the job's items. The node that accepted the job assigned it to the node that runs the model's other jobs."},
-	{JobCollected, Info, "batch job deleted", "The records of a finished job were deleted from the store. age_s is the time since its acceptance."},
+	{JobDeleted, Info, "batch job deleted", "The records of a finished job were deleted from the store. age_s is the time since its acceptance."},
 	{JobAssignedNearer, Info, "batch job assigned to a nearer owner", "The latency of the record store is clearly higher for the default owner of the job than for this one."},
 	{JobTakenAcross, Info, "batch job taken over across regions", "The previous owner was in another region. The locations and latencies of both owners are given."},
 	{ItemRetried, Info, "item retried", "A run of the item did not complete. outcome, status and events give the reason and how much of the text is kept."},
--- a/internal/version/batch/collect.go
+++ b/internal/version/batch/collect.go
@@ -105,7 +105,7 @@
 		gone := result.Status == port.RecordDone || result.Status == port.RecordConflict && len(result.Records) == 0
 		if gone {
 			delete(j.heads, id)
-			j.options.Queue.Log(event.JobCollected, "job", id, "age_s", int(j.age(now, known.AcceptedAtMs).Seconds()))
+			j.options.Queue.Log(event.JobDeleted, "job", id, "age_s", int(j.age(now, known.AcceptedAtMs).Seconds()))
 		}
 	})
 }
