--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -82,7 +82,7 @@
 	ItemScored                   = 918
 	ScoringUnrouted              = 919
 	RunMoved                     = 920
-	UsageGathered                = 950
+	UsageAggregated              = 950
 	UsageReported                = 951
 	UsageLost                    = 952
 	UsageClockSet                = 953
@@ -165,7 +165,7 @@
 	{ItemScored, Info, "item scored", "The score of a complete text is available. The replica, attempts and durations are given."},
 	{ScoringUnrouted, Warn, "scoring call has no route", "The current configuration has no route for the item's scoring call. The call waits for one until the item may be abandoned."},
 	{RunMoved, Info, "run moved", "The item continues on a faster replica. reason gives the cause, pace_us and best_us the time per event on both replicas, left_ms the time until the results are due."},
-	{UsageGathered, Info, "usage aggregated", "The counts of a window were added up and stored. stood tells that a previous holder had already stored a sum."},
+	{UsageAggregated, Info, "usage aggregated", "The counts of a window were added up and stored. stood tells that a previous holder had already stored a sum."},
 	{UsageReported, Info, "usage reported", "The report of a window was sent to the platform. status is its answer, late tells that the report was overdue."},
 	{UsageLost, Warn, "usage lost", "Counted requests will be missing from all reports. reason gives the cause."},
 	{UsageClockSet, Info, "usage clock set", "The clock offset of the usage windows was derived from the nodes' wall clocks."},
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -230,7 +230,7 @@
 				one.requests, one.accepted = held.Requests, held.Accepted
 			}
 			one.fixed = true
-			r.options.Queue.Log(event.UsageGathered, "window", one.window, "tenants", len(one.requests), "requests", total(one.requests),
+			r.options.Queue.Log(event.UsageAggregated, "window", one.window, "tenants", len(one.requests), "requests", total(one.requests),
 				"rows", len(one.rows), "stood", result.Status == port.RecordConflict)
 		}),
 	})
