--- a/internal/process/cluster/latency.go
+++ b/internal/process/cluster/latency.go
@@ -55,6 +55,6 @@
 // tickLatency tells of the store's distance when it has changed much.
 func (n *Node) tickLatency(now time.Time) {
 	if n.latency.news(now) {
-		n.queue.Log(event.StoreDistance, "latency_ms", n.latency.longest.Milliseconds(), "zone", n.options.Topology.Zone, "region", n.options.Topology.Region)
+		n.queue.Log(event.StoreLatencyChanged, "latency_ms", n.latency.longest.Milliseconds(), "zone", n.options.Topology.Zone, "region", n.options.Topology.Region)
 	}
 }
