--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -55,7 +55,7 @@
 	ColdClaimDenied              = 743
 	ColdWindowsDeleted           = 744
 	JobLeavesRegion              = 750
-	JobUnserved                  = 751
+	JobWithoutReplica            = 751
 	StoreLost                    = 801
 	StoreRegained                = 802
 	RecordUnreadable             = 803
@@ -138,7 +138,7 @@
 	{ColdClaimDenied, Info, "cold replica capacity not available", "No request to a cold replica could be claimed. wait_ms is the time until one may be available."},
 	{ColdWindowsDeleted, Info, "cold replica windows deleted", "The windows of removed replicas were deleted from the store."},
 	{JobLeavesRegion, Info, "batch job must leave the region", "A newer configuration excludes this node's region from the job's home regions. The job is handed over to a node in one of them."},
-	{JobUnserved, Warn, "batch job has no replica in its home regions", "The job's home regions have no replica. Its items wait for one until they may be abandoned."},
+	{JobWithoutReplica, Warn, "batch job has no replica in its home regions", "The job's home regions have no replica. Its items wait for one until they may be abandoned."},
 	{StoreLost, Warn, "record store lost", "A watch of the record store failed. The node continues with the records it has and reads the table again."},
 	{StoreRegained, Info, "record store regained", "A table of the record store was read completely and is being watched again."},
 	{RecordUnreadable, Error, "record unreadable", "A record of the store cannot be decoded and is ignored."},
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -117,7 +117,7 @@
 	}
 	served := h.served(o.route(), o.job.Tenant)
 	if !served && !o.unserved {
-		o.jobs.options.Queue.Log(event.JobUnserved, "job", o.id, "homes", homes.Regions)
+		o.jobs.options.Queue.Log(event.JobWithoutReplica, "job", o.id, "homes", homes.Regions)
 	}
 	o.unserved = !served
 }
