--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -151,18 +151,18 @@
 	JSON  bool   `koanf:"json"`
 }
 
-// Fault describes an invalid setting.
-type Fault struct {
+// FieldError describes an invalid setting.
+type FieldError struct {
 	// Field is the field's path, Value its value and Allowed a description of the allowed values.
 	Field, Value, Allowed string
 }
 
-func (f Fault) String() string {
+func (f FieldError) String() string {
 	return fmt.Sprintf("%s: invalid value %q, allowed: %s", f.Field, f.Value, f.Allowed)
 }
 
 // Error lists all invalid settings.
-type Error struct{ Faults []Fault }
+type Error struct{ Faults []FieldError }
 
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Faults))
@@ -176,7 +176,7 @@
 func Load(content []byte, overrides map[string]any) (*Settings, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(content), yaml.Parser()); err != nil {
-		return nil, &Error{Faults: []Fault{{Field: "(file)", Value: firstLine(err.Error()), Allowed: "a YAML mapping"}}}
+		return nil, &Error{Faults: []FieldError{{Field: "(file)", Value: firstLine(err.Error()), Allowed: "a YAML mapping"}}}
 	}
 	if err := k.Load(confmap.Provider(overrides, "."), nil); err != nil {
 		return nil, fmt.Errorf("flags: %w", err)
@@ -197,10 +197,10 @@
 }
 
 // unmarshal rejects unknown fields, so that a misspelled field is not silently replaced by its default.
-func unmarshal(k *koanf.Koanf, into any) []Fault {
+func unmarshal(k *koanf.Koanf, into any) []FieldError {
 	config := koanf.UnmarshalConf{Tag: "koanf", DecoderConfig: decoder(into)}
 	if err := k.UnmarshalWithConf("", into, config); err != nil {
-		return []Fault{{Field: "(file)", Value: strings.ReplaceAll(err.Error(), "\n", " "), Allowed: "the fields and types in docs/SETTINGS.md"}}
+		return []FieldError{{Field: "(file)", Value: strings.ReplaceAll(err.Error(), "\n", " "), Allowed: "the fields and types in docs/SETTINGS.md"}}
 	}
 	return nil
 }
@@ -213,16 +213,16 @@
 	return v
 }
 
-func checkFields(s any) []Fault {
+func checkFields(s any) []FieldError {
 	err := validate.Struct(s)
 	var invalid validator.ValidationErrors
 	if !errors.As(err, &invalid) {
 		return nil
 	}
-	var faults []Fault
+	var faults []FieldError
 	for _, one := range invalid {
 		_, path, _ := strings.Cut(one.Namespace(), ".")
-		faults = append(faults, Fault{Field: path, Value: fmt.Sprint(one.Value()), Allowed: allowed(one)})
+		faults = append(faults, FieldError{Field: path, Value: fmt.Sprint(one.Value()), Allowed: allowed(one)})
 	}
 	return faults
 }
