--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -162,11 +162,11 @@
 }
 
 // Error lists all invalid settings.
-type Error struct{ Faults []FieldError }
+type Error struct{ Fields []FieldError }
 
 func (e *Error) Error() string {
-	lines := make([]string, 0, len(e.Faults))
-	for _, fault := range e.Faults {
+	lines := make([]string, 0, len(e.Fields))
+	for _, fault := range e.Fields {
 		lines = append(lines, fault.String())
 	}
 	return strings.Join(lines, "\n")
@@ -176,17 +176,17 @@
 func Load(content []byte, overrides map[string]any) (*Settings, error) {
 	k := koanf.New(".")
 	if err := k.Load(rawbytes.Provider(content), yaml.Parser()); err != nil {
-		return nil, &Error{Faults: []FieldError{{Field: "(file)", Value: firstLine(err.Error()), Allowed: "a YAML mapping"}}}
+		return nil, &Error{Fields: []FieldError{{Field: "(file)", Value: firstLine(err.Error()), Allowed: "a YAML mapping"}}}
 	}
 	if err := k.Load(confmap.Provider(overrides, "."), nil); err != nil {
 		return nil, fmt.Errorf("flags: %w", err)
 	}
 	var loaded Settings
 	if faults := unmarshal(k, &loaded); len(faults) > 0 {
-		return nil, &Error{Faults: faults}
+		return nil, &Error{Fields: faults}
 	}
 	if faults := checkFields(&loaded); len(faults) > 0 {
-		return nil, &Error{Faults: faults}
+		return nil, &Error{Fields: faults}
 	}
 	return &loaded, nil
 }
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -60,10 +60,10 @@
 				return
 			}
 			var faults *Error
-			if !errors.As(err, &faults) || faults.Faults[0].Field != c.field {
+			if !errors.As(err, &faults) || faults.Fields[0].Field != c.field {
 				t.Fatalf("got error %v, want one for field %s", err, c.field)
 			}
-			if faults.Faults[0].Allowed == "" {
+			if faults.Fields[0].Allowed == "" {
 				t.Errorf("the error does not give the allowed values: %v", err)
 			}
 		})
