--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -295,7 +295,7 @@
 			close(a.replicasKnown)
 			a.replicasKnown = nil
 		}
-	case task.Forget:
+	case task.CloseIdleConnections:
 		a.upstream.Forget(t.Address)
 	case task.Log:
 		a.log.add(t.Event, t.Fields...)
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -205,7 +205,7 @@
 	listed := n.putReplicas(now, change.Replicas, true)
 	if !n.lapses.open(now) {
 		for _, dropped := range n.endpoints.Retain(listed) {
-			n.queue.Add(task.Forget{Address: dropped.Address})
+			n.queue.Add(task.CloseIdleConnections{Address: dropped.Address})
 			n.forgetCold(now, dropped.ID)
 		}
 	}
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -173,7 +173,7 @@
 			"versions", fmt.Sprint(one.Versions), "leaving", one.Draining, "restarted", change.Previous != nil)
 	case change.Removed:
 		n.queue.Log(event.ReplicaRemoved, "replica", one.ID, "service", one.Service, "in_flight", one.InFlight)
-		n.queue.Add(task.Forget{Address: one.Address})
+		n.queue.Add(task.CloseIdleConnections{Address: one.Address})
 		n.forgetCold(now, one.ID)
 	case change.Leaving:
 		n.queue.Log(event.ReplicaLeaving, "replica", one.ID, "service", one.Service, "in_flight", one.InFlight)
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -219,7 +219,7 @@
 
 func (Watch) isTask() {}
 
-// Forget closes the idle connections to an address.
-type Forget struct{ Address string }
+// CloseIdleConnections closes the idle connections to an address.
+type CloseIdleConnections struct{ Address string }
 
-func (Forget) isTask() {}
+func (CloseIdleConnections) isTask() {}
