--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -285,7 +285,7 @@
 		go a.orderReplicas(a.acts, t)
 	case task.Later:
 		time.AfterFunc(t.After, func() { a.do(t.Do) })
-	case task.Wake:
+	case task.NotifyJob:
 		if waiter := a.waiters[t.Job]; waiter != nil {
 			close(waiter)
 			delete(a.waiters, t.Job)
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -159,8 +159,8 @@
 	Done  func(now time.Time, status port.DutyStatus)
 }
 
-// Wake notifies the clients waiting for a batch job of a change.
-type Wake struct{ Job string }
+// NotifyJob notifies the clients waiting for a batch job of a change.
+type NotifyJob struct{ Job string }
 
 // ReplicasKnown notifies requests that are waiting for the replica list that replicas have been read.
 type ReplicasKnown struct{}
@@ -182,7 +182,7 @@
 func (Report) isTask()        {}
 func (ReportUsage) isTask()   {}
 func (OrderReplicas) isTask() {}
-func (Wake) isTask()          {}
+func (NotifyJob) isTask()     {}
 func (Log) isTask()           {}
 
 // Queue is an ordered list of tasks. It must only be used from the node's event loop.
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -251,7 +251,7 @@
 	known.BatchJobHead = decoded
 	known.revision = revision
 	known.changedAt = now
-	j.options.Queue.Add(task.Wake{Job: id})
+	j.options.Queue.Add(task.NotifyJob{Job: id})
 	switch job := j.owned[id]; {
 	case job == nil:
 	case decoded.Ended:
