--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -283,7 +283,7 @@
 		go a.reportUsage(a.acts, t)
 	case task.OrderReplicas:
 		go a.orderReplicas(a.acts, t)
-	case task.Later:
+	case task.Timer:
 		time.AfterFunc(t.After, func() { a.do(t.Do) })
 	case task.NotifyJob:
 		if waiter := a.waiters[t.Job]; waiter != nil {
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -84,7 +84,7 @@
 			answer(t.Done, func() port.RecordResult { return c.store.Range(c.Now, t.Query) })
 		case task.Watch:
 			c.watch(t, c.Now.Add(t.Wait))
-		case task.Later:
+		case task.Timer:
 			c.After(t.After, func() { c.do(t.Do) })
 		}
 	}
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -201,13 +201,13 @@
 	return list
 }
 
-// Later calls Do after a delay.
-type Later struct {
+// Timer calls Do after a delay.
+type Timer struct {
 	After time.Duration
 	Do    func(now time.Time)
 }
 
-func (Later) isTask() {}
+func (Timer) isTask() {}
 
 // Watch waits for changes of a table.
 type Watch struct {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -343,7 +343,7 @@
 		w.ask(n, t, func(report port.ReplicaReport) { back(func(now time.Time) { t.Done(now, report) }) })
 	case task.ReportUsage:
 		w.duties.report(n, t, func(status port.DutyStatus) { back(func(now time.Time) { t.Done(now, status) }) })
-	case task.Later:
+	case task.Timer:
 		w.After(t.After, func() { back(t.Do) })
 	case task.Log:
 		w.owners.logged(n, t.Event, t.Fields)
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -244,5 +244,5 @@
 
 func (j *Jobs) later(pause time.Duration, do func(now time.Time)) {
 	jitter := time.Duration(j.options.Random.Int64N(int64(pause)/2 + 1))
-	j.options.Queue.Add(task.Later{After: pause + jitter, Do: do})
+	j.options.Queue.Add(task.Timer{After: pause + jitter, Do: do})
 }
--- a/internal/version/batch/bench_test.go
+++ b/internal/version/batch/bench_test.go
@@ -39,7 +39,7 @@
 	answer func(commit task.Commit) (port.RecordResult, bool)
 	// read decides over a read's answer; nil lets all through.
 	read  func(query port.RecordRange) (port.RecordResult, bool)
-	later []task.Later
+	later []task.Timer
 	// fleet, unless nil, takes the place of one.
 	fleet *fleet
 }
@@ -108,7 +108,7 @@
 				b.calls = append(b.calls, t)
 			case task.StopRun:
 				b.stopped[t.ID] = true
-			case task.Later:
+			case task.Timer:
 				b.later = append(b.later, t)
 			}
 		}
--- a/internal/version/batch/preference_test.go
+++ b/internal/version/batch/preference_test.go
@@ -177,7 +177,7 @@
 	b.accept(newJob("j", 1))
 	began := b.now
 	var writtenAt []time.Time
-	var answers []task.Later
+	var answers []task.Timer
 	for b.now.Sub(began) < 10*time.Second {
 		b.jobs.Tick(b.now)
 		for _, one := range b.queue.Take() {
@@ -185,10 +185,10 @@
 			if !ok {
 				continue
 			}
-			answers = append(answers, task.Later{After: b.now.Add(oneWay).Sub(began), Do: func(now time.Time) {
+			answers = append(answers, task.Timer{After: b.now.Add(oneWay).Sub(began), Do: func(now time.Time) {
 				result := b.store.Commit(now, commit.Transaction)
 				writtenAt = append(writtenAt, now)
-				answers = append(answers, task.Later{After: now.Add(oneWay).Sub(began), Do: func(now time.Time) { commit.Done(now, result) }})
+				answers = append(answers, task.Timer{After: now.Add(oneWay).Sub(began), Do: func(now time.Time) { commit.Done(now, result) }})
 			}})
 		}
 		due := answers
