--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -290,7 +290,7 @@
 			close(waiter)
 			delete(a.waiters, t.Job)
 		}
-	case task.ReplicasKnown:
+	case task.NotifyReplicasRead:
 		if a.replicasKnown != nil {
 			close(a.replicasKnown)
 			a.replicasKnown = nil
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -100,7 +100,7 @@
 }
 
 // BeginRequest notes that a request of a route's callers is under way, until EndRequest is called. It
-// reports whether replicas for it are being read, which task.ReplicasKnown tells the end of.
+// reports whether replicas for it are being read, which task.NotifyReplicasRead tells the end of.
 func (n *Node) BeginRequest(now time.Time, route *port.Route) bool {
 	use := &n.replicaUse
 	use.requests++
@@ -210,7 +210,7 @@
 		}
 	}
 	n.tellListed(len(change.Replicas))
-	n.queue.Add(task.ReplicasKnown{})
+	n.queue.Add(task.NotifyReplicasRead{})
 }
 
 // putReplicas takes replicas' records and returns their IDs.
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -115,7 +115,7 @@
 	case task.Commit:
 		// The leases are others'.
 		t.Done(d.now, port.RecordResult{Status: port.RecordRefused})
-	case task.ReplicasKnown:
+	case task.NotifyReplicasRead:
 		d.known++
 	}
 }
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -133,7 +133,7 @@
 		n.tellListed(len(change.Replicas))
 	}
 	if whole && n.listsReplicas(table) {
-		n.queue.Add(task.ReplicasKnown{})
+		n.queue.Add(task.NotifyReplicasRead{})
 	}
 	for _, gone := range change.Gone {
 		n.removeGone(now, gone, unreadable(change.Unreadable, gone.ID))
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -162,10 +162,10 @@
 // NotifyJob notifies the clients waiting for a batch job of a change.
 type NotifyJob struct{ Job string }
 
-// ReplicasKnown notifies requests that are waiting for the replica list that replicas have been read.
-type ReplicasKnown struct{}
+// NotifyReplicasRead notifies requests that are waiting for the replica list that replicas have been read.
+type NotifyReplicasRead struct{}
 
-func (ReplicasKnown) isTask() {}
+func (NotifyReplicasRead) isTask() {}
 
 // Log writes a numbered event. Fields alternates names and values.
 type Log struct {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -350,7 +350,7 @@
 		if w.options.Log != nil {
 			w.options.Log(n.name, w.Now.Sub(epoch), t.Event, t.Fields)
 		}
-	case task.NotifyJob, task.CloseIdleConnections, task.ReplicasKnown:
+	case task.NotifyJob, task.CloseIdleConnections, task.NotifyReplicasRead:
 	}
 }
 
