--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -275,7 +275,7 @@
 		if cancel := a.runs[t.ID]; cancel != nil {
 			cancel()
 		}
-	case task.Order:
+	case task.OrderVersion:
 		go a.order(a.acts, t)
 	case task.Report:
 		go a.report(t)
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -165,7 +165,7 @@
 }
 
 // order sends a version order.
-func (a *Agent) order(ctx context.Context, t task.Order) {
+func (a *Agent) order(ctx context.Context, t task.OrderVersion) {
 	path, body := a.protocol.EncodeOrder(t.Order)
 	status := port.VersionOrderUnknown
 	code, _, err := a.control(ctx, t.Order.Replica, t.Order.Address, http.MethodPost, path, body, t.Limit)
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -128,8 +128,8 @@
 	Crashed bool
 }
 
-// Order sends a version order to a replica.
-type Order struct {
+// OrderVersion sends a version order to a replica.
+type OrderVersion struct {
 	Order port.OrderVersion
 	// Limit is the time within which the order must reach the replica. After it the sender may no
 	// longer hold the order lease.
@@ -146,7 +146,7 @@
 // ReportUsage sends the usage report of a window to the platform.
 type ReportUsage struct {
 	Report port.UsageReport
-	// Limit is the time within which the report must reach the platform, as for Order.
+	// Limit is the time within which the report must reach the platform, as for OrderVersion.
 	Limit time.Duration
 	Done  func(now time.Time, status port.DutyStatus)
 }
@@ -154,7 +154,7 @@
 // OrderReplicas requests replicas from the platform.
 type OrderReplicas struct {
 	Order port.ReplicaOrder
-	// Limit is the time within which the order must reach the platform, as for Order.
+	// Limit is the time within which the order must reach the platform, as for OrderVersion.
 	Limit time.Duration
 	Done  func(now time.Time, status port.DutyStatus)
 }
@@ -178,7 +178,7 @@
 func (Run) isTask()           {}
 func (StopRun) isTask()       {}
 func (ScoringCall) isTask()   {}
-func (Order) isTask()         {}
+func (OrderVersion) isTask()  {}
 func (Report) isTask()        {}
 func (ReportUsage) isTask()   {}
 func (OrderReplicas) isTask() {}
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -305,7 +305,7 @@
 
 // order carries an order to a replica. It may be under way for long, within its limit, and
 // it may be carried out late and unanswered.
-func (w *World) order(n *node, t task.Order, done func(status port.VersionOrderStatus)) {
+func (w *World) order(n *node, t task.OrderVersion, done func(status port.VersionOrderStatus)) {
 	longer, lost := w.wayTo(n, t.Order.Address)
 	underWay := callLatency + longer
 	if w.operator.slowOrders > 0 {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -337,7 +337,7 @@
 		}
 	case task.ScoringCall:
 		w.startScoring(n, life, t)
-	case task.Order:
+	case task.OrderVersion:
 		w.order(n, t, func(status port.VersionOrderStatus) { back(func(now time.Time) { t.Done(now, status) }) })
 	case task.Report:
 		w.ask(n, t, func(report port.ReplicaReport) { back(func(now time.Time) { t.Done(now, report) }) })
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -89,7 +89,7 @@
 func (r *Rollout) probe(now time.Time, one wanted, state *replicaState) {
 	state.asking = true
 	fence := r.options.Lease.Fence()
-	r.options.Queue.Add(task.Order{
+	r.options.Queue.Add(task.OrderVersion{
 		Limit: r.options.Lease.Left(now),
 		Order: r.message(one, fence, port.ProbeSequence),
 		Done: func(now time.Time, status port.VersionOrderStatus) {
@@ -127,7 +127,7 @@
 	one.endpoint.SetLoading(one.model, now.Add(firstLook))
 	fence, sequence := r.options.Lease.Fence(), state.sequence
 	state.unanswered.add(now, one.model, one.version, sequence)
-	r.options.Queue.Add(task.Order{
+	r.options.Queue.Add(task.OrderVersion{
 		Limit: r.options.Lease.Left(now),
 		Order: r.message(one, fence, sequence),
 		Done: func(now time.Time, status port.VersionOrderStatus) {
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -37,7 +37,7 @@
 	// fenced replicas have seen a newer holder than any; sent are the orders, left what
 	// the lease still held when each was sent.
 	fenced bool
-	sent   []task.Order
+	sent   []task.OrderVersion
 	left   []time.Duration
 }
 
@@ -109,7 +109,7 @@
 			return
 		}
 		t.Done(b.now, b.generators[t.Replica].Report(b.now))
-	case task.Order:
+	case task.OrderVersion:
 		if !t.Order.Probe() {
 			b.orders++
 		}
