--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -277,7 +277,7 @@
 		}
 	case task.OrderVersion:
 		go a.order(a.acts, t)
-	case task.Report:
+	case task.FetchReport:
 		go a.report(t)
 	case task.ReportUsage:
 		go a.reportUsage(a.acts, t)
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -176,7 +176,7 @@
 }
 
 // report asks a replica for its state.
-func (a *Agent) report(t task.Report) {
+func (a *Agent) report(t task.FetchReport) {
 	var report port.ReplicaReport
 	code, content, err := a.control(a.base, t.Replica, t.Address, http.MethodGet, a.protocol.ReportPath(), nil, controlTimeout)
 	if err == nil && code == http.StatusOK {
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -137,8 +137,8 @@
 	Done  func(now time.Time, status port.VersionOrderStatus)
 }
 
-// Report requests the state of a replica.
-type Report struct {
+// FetchReport requests the state of a replica.
+type FetchReport struct {
 	Replica, Address string
 	Done             func(now time.Time, report port.ReplicaReport)
 }
@@ -179,7 +179,7 @@
 func (StopRun) isTask()       {}
 func (ScoringCall) isTask()   {}
 func (OrderVersion) isTask()  {}
-func (Report) isTask()        {}
+func (FetchReport) isTask()   {}
 func (ReportUsage) isTask()   {}
 func (OrderReplicas) isTask() {}
 func (NotifyJob) isTask()     {}
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -363,7 +363,7 @@
 }
 
 // ask brings a replica's report, some time old.
-func (w *World) ask(n *node, t task.Report, done func(report port.ReplicaReport)) {
+func (w *World) ask(n *node, t task.FetchReport, done func(report port.ReplicaReport)) {
 	r := w.at(t.Address)
 	longer, lost := w.wayTo(n, t.Address)
 	if r == nil || r.dark > 0 || lost || r.ID != t.Replica {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -339,7 +339,7 @@
 		w.startScoring(n, life, t)
 	case task.OrderVersion:
 		w.order(n, t, func(status port.VersionOrderStatus) { back(func(now time.Time) { t.Done(now, status) }) })
-	case task.Report:
+	case task.FetchReport:
 		w.ask(n, t, func(report port.ReplicaReport) { back(func(now time.Time) { t.Done(now, report) }) })
 	case task.ReportUsage:
 		w.duties.report(n, t, func(status port.DutyStatus) { back(func(now time.Time) { t.Done(now, status) }) })
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -12,7 +12,7 @@
 // ask asks a replica for its state.
 func (r *Rollout) ask(one *endpoint.Endpoint, state *replicaState) {
 	state.asking = true
-	r.options.Queue.Add(task.Report{Replica: one.ID, Address: one.Address, Done: func(now time.Time, report port.ReplicaReport) {
+	r.options.Queue.Add(task.FetchReport{Replica: one.ID, Address: one.Address, Done: func(now time.Time, report port.ReplicaReport) {
 		state.asking = false
 		if report.OK && ofAnotherLife(report, one) {
 			// It is no ground for an order: the other life's record is on the way.
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -102,7 +102,7 @@
 		t.Done(b.now, b.records.Commit(b.now, t.Transaction))
 	case task.Range:
 		t.Done(b.now, b.records.Range(b.now, t.Query))
-	case task.Report:
+	case task.FetchReport:
 		if b.lag > 0 {
 			report := b.generators[t.Replica].Report(b.now.Add(-b.lag))
 			b.asked = append(b.asked, func() { t.Done(b.now, report) })
