--- a/internal/command/operator/steps.go
+++ b/internal/command/operator/steps.go
@@ -180,7 +180,7 @@
 	}
 	fmt.Fprintf(w, "%.3f s\t%s\t%s\t%d\t%d of %d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.acceptedMs/1000, s.id, s.model, s.step, len(s.done), s.items,
 		s.quantile(0.5, start), lastStart, s.quantile(0.95, whole), lastWhole, ended, s.owners,
-		s.ends[task.RunRefused], s.ends[task.RunUnreachable], s.ends[task.RunSilent], s.ends[task.RunInterrupted]+s.ends[task.RunFailed], s.ends[task.RunSlow], s.needless, s.cause())
+		s.ends[task.RunRefused], s.ends[task.RunUnreachable], s.ends[task.RunTimedOut], s.ends[task.RunInterrupted]+s.ends[task.RunFailed], s.ends[task.RunSlow], s.needless, s.cause())
 }
 
 // cause tells what the time of the item that was whole last went into.
--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -183,7 +183,7 @@
 func (m *metrics) run(outcome task.RunOutcome, waited, took time.Duration) {
 	names := map[task.RunOutcome]string{
 		task.RunCompleted: "completed", task.RunInterrupted: "interrupted", task.RunFailed: "failed",
-		task.RunImpossible: "impossible", task.RunRefused: "refused", task.RunUnreachable: "unreachable", task.RunSilent: "silent", task.RunSlow: "slow",
+		task.RunImpossible: "impossible", task.RunRefused: "refused", task.RunUnreachable: "unreachable", task.RunTimedOut: "silent", task.RunSlow: "slow",
 	}
 	m.runs.WithLabelValues(names[outcome]).Observe(took.Seconds())
 	m.waits.Observe(waited.Seconds())
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -55,7 +55,7 @@
 	})
 	if err != nil {
 		if ctx.Err() != nil {
-			return task.RunResult{Outcome: task.RunSilent}
+			return task.RunResult{Outcome: task.RunTimedOut}
 		}
 		return task.RunResult{Outcome: task.RunUnreachable, Crashed: a.crashedBy(ctx, t.Address, err)}
 	}
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -78,8 +78,8 @@
 	RunSlow
 	// RunUnreachable means that the connection was refused or was reset before an answer.
 	RunUnreachable
-	// RunSilent means that the replica did not answer in time.
-	RunSilent
+	// RunTimedOut means that the replica did not answer in time.
+	RunTimedOut
 )
 
 // RunResult is the result of a run. Each event carries the version that generated it.
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -192,7 +192,7 @@
 		w.check.arrivedCold(w, r)
 		switch {
 		case r.dark > 0 || lost:
-			w.After(t.FirstWithin, func() { one.end(task.RunSilent) })
+			w.After(t.FirstWithin, func() { one.end(task.RunTimedOut) })
 		default:
 			w.check.arrived(w, one)
 			one.begin()
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -249,7 +249,7 @@
 	for _, c := range []struct {
 		outcome task.RunOutcome
 		ejected bool
-	}{{task.RunUnreachable, true}, {task.RunSilent, false}, {task.RunInterrupted, false}} {
+	}{{task.RunUnreachable, true}, {task.RunTimedOut, false}, {task.RunInterrupted, false}} {
 		b := newBench("a", newStore())
 		b.accept(newJob("j", 2))
 		b.pass(100 * time.Millisecond)
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -187,7 +187,7 @@
 		chosen.RecordSuccess(result.FirstEvent)
 	case task.RunRefused:
 		chosen.RecordRefusal(now, model)
-	case task.RunSilent:
+	case task.RunTimedOut:
 		j.noteFailure(id, took, chosen.RecordTimeout(now))
 	case task.RunUnreachable:
 		// A replica that resets connections fails at once, so that it always has room: unless it
@@ -228,7 +228,7 @@
 	switch result.Outcome {
 	case task.RunCompleted:
 		o.completed(now, index, result)
-	case task.RunInterrupted, task.RunSilent:
+	case task.RunInterrupted, task.RunTimedOut:
 		one.avoid = one.endpoint
 		one.interruptions++
 		one.notAt = now.Add(busyPause / 2)
