--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -46,7 +46,7 @@
 	if t.After > 0 {
 		a.protocol.Resume(header, strconv.FormatInt(t.After, 10))
 	}
-	silence := time.AfterFunc(t.FirstWithin, cancel)
+	silence := time.AfterFunc(t.FirstEventTimeout, cancel)
 	defer silence.Stop()
 	startedAt := time.Now()
 	answer, err := a.upstream.Do(ctx, &upstream.Call{
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -192,7 +192,7 @@
 		w.check.arrivedCold(w, r)
 		switch {
 		case r.dark > 0 || lost:
-			w.After(t.FirstWithin, func() { one.end(task.RunTimedOut) })
+			w.After(t.FirstEventTimeout, func() { one.end(task.RunTimedOut) })
 		default:
 			w.check.arrived(w, one)
 			one.begin()
@@ -237,7 +237,7 @@
 		}
 		silence := one.task.NextWithin
 		if len(one.events) == 0 {
-			silence = one.task.FirstWithin
+			silence = one.task.FirstEventTimeout
 		}
 		switch {
 		case w.Now.Sub(lastAt) >= silence:
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -165,7 +165,7 @@
 	b.pass(200 * time.Millisecond)
 	var waits []time.Duration
 	for _, run := range b.takeRuns() {
-		waits = append(waits, run.FirstWithin)
+		waits = append(waits, run.FirstEventTimeout)
 	}
 	if want := []time.Duration{firstSilence, firstSilence, longestSilence, longestSilence}; !slices.Equal(waits, want) {
 		t.Errorf("first events are waited for %v, should be %v", waits, want)
