--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -78,7 +78,7 @@
 			result.Crashed = a.crashedBy(ctx, t.Address, err)
 			return result
 		}
-		silence.Reset(t.NextWithin)
+		silence.Reset(t.NextEventTimeout)
 		if len(result.Events) == 0 {
 			result.FirstEvent = time.Since(startedAt)
 		}
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -49,8 +49,8 @@
 	Urgent bool
 	// After is the ID of the event after which to continue, 0 to start from the beginning.
 	After int64
-	// FirstEventTimeout is the timeout for the first event and NextWithin the timeout between two events.
-	FirstEventTimeout, NextWithin time.Duration
+	// FirstEventTimeout is the timeout for the first event and NextEventTimeout the timeout between two events.
+	FirstEventTimeout, NextEventTimeout time.Duration
 	// Progress is called periodically with the new events of the run and its pace, 0 if there is no new
 	// measurement. Its result tells whether to stop the run with RunSlow.
 	Progress func(now time.Time, events []port.ReplicaEvent, pace time.Duration) (stop bool)
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -235,7 +235,7 @@
 		if one.ended {
 			return
 		}
-		silence := one.task.NextWithin
+		silence := one.task.NextEventTimeout
 		if len(one.events) == 0 {
 			silence = one.task.FirstEventTimeout
 		}
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -79,7 +79,7 @@
 	o.jobs.options.Queue.Add(task.Run{
 		ID: run, Item: content.Id, Replica: chosen.ID, Address: chosen.Address, Target: content.Path, Host: o.job.Host,
 		Header: one.header.Clone(), Body: content.Body, Tenant: o.job.Tenant, Limit: runLimit, Waited: now.Sub(one.waitsSince), After: lastEvent(one.events), Urgent: one.long,
-		FirstEventTimeout: firstWithin(now, chosen, one.interruptions), NextWithin: o.nextSilence(one, route),
+		FirstEventTimeout: firstWithin(now, chosen, one.interruptions), NextEventTimeout: o.nextSilence(one, route),
 		Progress: func(now time.Time, events []port.ReplicaEvent, pace time.Duration) bool {
 			return o.onProgress(now, index, run, events, pace)
 		},
