--- a/internal/process/agent/tenant.go
+++ b/internal/process/agent/tenant.go
@@ -22,7 +22,7 @@
 	a.mu.Lock()
 	age := a.node.ConfigurationAge(a.clock.Now())
 	a.mu.Unlock()
-	return policy.Judge(table, call, age)
+	return policy.Authenticate(table, call, age)
 }
 
 // admit is identify for calls that can be refused at once.
--- a/internal/request/access/access.go
+++ b/internal/request/access/access.go
@@ -62,10 +62,10 @@
 	Unconfirmed
 )
 
-// Judge authenticates a call. age is the time since the configuration was last confirmed by the store.
+// Authenticate authenticates a call. age is the time since the configuration was last confirmed by the store.
 // Without tenants every caller is admitted; with tenants, callers without a known key are admitted only
 // if the call is anonymous.
-func (p Policy) Judge(tenants Tenants, call Call, age time.Duration) (Caller, Verdict) {
+func (p Policy) Authenticate(tenants Tenants, call Call, age time.Duration) (Caller, Verdict) {
 	if !tenants.HasTenants() {
 		return Caller{}, Admitted
 	}
--- a/internal/request/access/access_test.go
+++ b/internal/request/access/access_test.go
@@ -50,7 +50,7 @@
 		{"unknown key on an anonymous call", Policy{}, red, anonymous(unknown), time.Hour, "", Admitted},
 		{"no keys configured", Policy{}, keys{}, known, 0, "", UnknownKey},
 	} {
-		who, verdict := c.policy.Judge(c.tenants, c.call, c.age)
+		who, verdict := c.policy.Authenticate(c.tenants, c.call, c.age)
 		if who.Tenant != c.tenant || verdict != c.verdict || who.Told != (c.tenants != nil) {
 			t.Errorf("%s: got %+v, verdict %d, want %q, %d", c.name, who, verdict, c.tenant, c.verdict)
 		}
