--- a/internal/process/agent/tenant.go
+++ b/internal/process/agent/tenant.go
@@ -52,7 +52,7 @@
 
 // mark puts the caller's tenant into the head of a request to a replica, in the place of the key.
 func (a *Agent) mark(header http.Header, who access.Caller) {
-	if who.Told {
+	if who.TenantsConfigured {
 		a.protocol.SetTenant(header, who.Tenant)
 	}
 }
@@ -63,5 +63,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	table := a.node.Routes()
-	return access.Caller{Tenant: tenant, Told: tenant != "" || table != nil && table.HasTenants()}
+	return access.Caller{Tenant: tenant, TenantsConfigured: tenant != "" || table != nil && table.HasTenants()}
 }
--- a/internal/request/access/access.go
+++ b/internal/request/access/access.go
@@ -40,12 +40,14 @@
 type Caller struct {
 	// Tenant is the caller's tenant, empty without a key or without tenants.
 	Tenant string
-	// Told tells that tenants are configured.
-	Told bool
+	// TenantsConfigured tells that tenants are configured.
+	TenantsConfigured bool
 }
 
 // MayUse reports whether the caller may access a resource of a tenant: its own or one without a tenant.
-func (c Caller) MayUse(tenant string) bool { return !c.Told || tenant == "" || tenant == c.Tenant }
+func (c Caller) MayUse(tenant string) bool {
+	return !c.TenantsConfigured || tenant == "" || tenant == c.Tenant
+}
 
 // Verdict is the result of authenticating a call.
 type Verdict int
@@ -69,7 +71,7 @@
 	if !tenants.HasTenants() {
 		return Caller{}, Admitted
 	}
-	who, known := Caller{Told: true}, false
+	who, known := Caller{TenantsConfigured: true}, false
 	if call.Given {
 		who.Tenant, known = tenants.Tenant(call.Key)
 	}
--- a/internal/request/access/access_test.go
+++ b/internal/request/access/access_test.go
@@ -51,7 +51,7 @@
 		{"no keys configured", Policy{}, keys{}, known, 0, "", UnknownKey},
 	} {
 		who, verdict := c.policy.Authenticate(c.tenants, c.call, c.age)
-		if who.Tenant != c.tenant || verdict != c.verdict || who.Told != (c.tenants != nil) {
+		if who.Tenant != c.tenant || verdict != c.verdict || who.TenantsConfigured != (c.tenants != nil) {
 			t.Errorf("%s: got %+v, verdict %d, want %q, %d", c.name, who, verdict, c.tenant, c.verdict)
 		}
 	}
@@ -63,8 +63,8 @@
 		tenant string
 		may    bool
 	}{
-		{Caller{}, "red", true}, {Caller{Told: true, Tenant: "red"}, "red", true}, {Caller{Told: true, Tenant: "red"}, "blue", false},
-		{Caller{Told: true}, "blue", false}, {Caller{Told: true}, "", true},
+		{Caller{}, "red", true}, {Caller{TenantsConfigured: true, Tenant: "red"}, "red", true}, {Caller{TenantsConfigured: true, Tenant: "red"}, "blue", false},
+		{Caller{TenantsConfigured: true}, "blue", false}, {Caller{TenantsConfigured: true}, "", true},
 	} {
 		if c.who.MayUse(c.tenant) != c.may {
 			t.Errorf("%+v may use %q: want %t", c.who, c.tenant, c.may)
