--- a/internal/process/agent/tenant.go
+++ b/internal/process/agent/tenant.go
@@ -18,7 +18,7 @@
 func (a *Agent) identify(table *routes.Table, header http.Header, anonymous bool) (access.Caller, access.Verdict) {
 	policy := access.Policy{Strict: a.settings.Tenants.Strict, Revocation: a.settings.Tenants.Revocation()}
 	call := access.Call{Anonymous: anonymous}
-	call.Key, call.Given = a.protocol.Key(header)
+	call.Key, call.HasKey = a.protocol.Key(header)
 	a.mu.Lock()
 	age := a.node.ConfigurationAge(a.clock.Now())
 	a.mu.Unlock()
--- a/internal/request/access/access.go
+++ b/internal/request/access/access.go
@@ -29,9 +29,9 @@
 
 // Call holds the credentials of a call.
 type Call struct {
-	// Key is the digest of the API key, valid if Given is set.
-	Key   port.KeyDigest
-	Given bool
+	// Key is the digest of the API key, valid if HasKey is set.
+	Key    port.KeyDigest
+	HasKey bool
 	// Anonymous tells that the call requires no key.
 	Anonymous bool
 }
@@ -72,7 +72,7 @@
 		return Caller{}, Admitted
 	}
 	who, known := Caller{TenantsConfigured: true}, false
-	if call.Given {
+	if call.HasKey {
 		who.Tenant, known = tenants.Tenant(call.Key)
 	}
 	switch {
@@ -80,7 +80,7 @@
 		return who, Unconfirmed
 	case known || call.Anonymous:
 		return who, Admitted
-	case !call.Given:
+	case !call.HasKey:
 		return who, NoKey
 	case age > maxKeyAge:
 		return who, Unconfirmed
--- a/internal/request/access/access_test.go
+++ b/internal/request/access/access_test.go
@@ -19,8 +19,8 @@
 
 func TestJudge(t *testing.T) {
 	red := keys{port.DigestKey("r"): "red"}
-	known := Call{Key: port.DigestKey("r"), Given: true}
-	unknown := Call{Key: port.DigestKey("x"), Given: true}
+	known := Call{Key: port.DigestKey("r"), HasKey: true}
+	unknown := Call{Key: port.DigestKey("x"), HasKey: true}
 	anonymous := func(call Call) Call {
 		call.Anonymous = true
 		return call
