--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -128,7 +128,7 @@
 				func(outcome batch.Outcome) { done <- jobReading{outcome: outcome} })
 		})
 	})
-	if read.outcome == batch.Done && !who.MayUse(read.state.Tenant) {
+	if read.outcome == batch.Done && !who.MayAccess(read.state.Tenant) {
 		read.outcome = batch.Absent
 	}
 	if read.outcome != batch.Done {
--- a/internal/request/access/access.go
+++ b/internal/request/access/access.go
@@ -44,8 +44,8 @@
 	TenantsConfigured bool
 }
 
-// MayUse reports whether the caller may access a resource of a tenant: its own or one without a tenant.
-func (c Caller) MayUse(tenant string) bool {
+// MayAccess reports whether the caller may access a resource of a tenant: its own or one without a tenant.
+func (c Caller) MayAccess(tenant string) bool {
 	return !c.TenantsConfigured || tenant == "" || tenant == c.Tenant
 }
 
--- a/internal/request/access/access_test.go
+++ b/internal/request/access/access_test.go
@@ -66,7 +66,7 @@
 		{Caller{}, "red", true}, {Caller{TenantsConfigured: true, Tenant: "red"}, "red", true}, {Caller{TenantsConfigured: true, Tenant: "red"}, "blue", false},
 		{Caller{TenantsConfigured: true}, "blue", false}, {Caller{TenantsConfigured: true}, "", true},
 	} {
-		if c.who.MayUse(c.tenant) != c.may {
+		if c.who.MayAccess(c.tenant) != c.may {
 			t.Errorf("%+v may use %q: want %t", c.who, c.tenant, c.may)
 		}
 	}
