--- a/internal/process/agent/forward.go
+++ b/internal/process/agent/forward.go
@@ -57,7 +57,7 @@
 	}
 	x.relay.Launched(now)
 	x.launched++
-	call := x.call(chosen, x.relay.Left(now))
+	call := x.call(chosen, x.relay.Remaining(now))
 	go func() { x.attempts <- x.try(ctx, chosen, call) }()
 }
 
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -98,7 +98,7 @@
 
 // pass sends the request to a replica and passes its events on.
 func (s *relayedStream) pass(ctx context.Context, chosen *endpoint.Endpoint) (relay.Outcome, error) {
-	call := s.call(chosen, s.relay.Left(time.Now()))
+	call := s.call(chosen, s.relay.Remaining(time.Now()))
 	if s.begun {
 		s.agent.protocol.Resume(call.Header, strconv.FormatInt(s.last, 10))
 	}
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -114,8 +114,8 @@
 // Deadline returns when the request must be answered.
 func (r *Relay) Deadline() time.Time { return r.deadline }
 
-// Left returns the time until the deadline.
-func (r *Relay) Left(now time.Time) time.Duration { return r.deadline.Sub(now) }
+// Remaining returns the time until the deadline.
+func (r *Relay) Remaining(now time.Time) time.Duration { return r.deadline.Sub(now) }
 
 // Pending reports whether an attempt is in progress.
 func (r *Relay) Pending() bool { return r.open > 0 }
@@ -166,7 +166,7 @@
 	if r.answered {
 		return Decision{Action: Deliver}
 	}
-	if r.Left(now) <= 0 {
+	if r.Remaining(now) <= 0 {
 		return r.fail(ReasonDeadline)
 	}
 	if r.mayLaunch(now) {
@@ -187,7 +187,7 @@
 // mayLaunch reports whether another attempt is allowed and due.
 func (r *Relay) mayLaunch(now time.Time) bool {
 	switch {
-	case r.exhausted || r.launched >= r.maxAttempts || r.Left(now) < minAttemptTime:
+	case r.exhausted || r.launched >= r.maxAttempts || r.Remaining(now) < minAttemptTime:
 		return false
 	case r.launched == 0:
 		return true
--- a/internal/request/relay/relay_test.go
+++ b/internal/request/relay/relay_test.go
@@ -114,10 +114,10 @@
 
 func TestShorterDeadlineApplies(t *testing.T) {
 	route := port.Route{Timeout: ms(1000)}
-	if got := New(start, &route, ms(300)).Left(start); got != ms(300) {
+	if got := New(start, &route, ms(300)).Remaining(start); got != ms(300) {
 		t.Errorf("%s left, want the shorter timeout", got)
 	}
-	if got := New(start, &route, ms(3000)).Left(start); got != ms(1000) {
+	if got := New(start, &route, ms(3000)).Remaining(start); got != ms(1000) {
 		t.Errorf("%s left, want the shorter timeout", got)
 	}
 }
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -151,7 +151,7 @@
 	o.openRuns++
 	o.jobs.options.Queue.Add(task.ScoringCall{
 		ID: id, Request: call.Id, Replica: chosen.ID, Address: chosen.Address, Target: call.Path, Host: call.Host, Body: o.scoringBody(index),
-		Tenant: o.job.Tenant, Limit: try.relay.Left(now), SendBy: chosen.SendBy,
+		Tenant: o.job.Tenant, Limit: try.relay.Remaining(now), SendBy: chosen.SendBy,
 		Done: func(later time.Time, result task.ScoringResult) {
 			chosen.InFlight--
 			o.openRuns--
