--- a/internal/process/agent/forward.go
+++ b/internal/process/agent/forward.go
@@ -55,7 +55,7 @@
 		x.relay.NoEndpoint()
 		return
 	}
-	x.relay.Launched(now)
+	x.relay.RecordLaunch(now)
 	x.launched++
 	call := x.call(chosen, x.relay.Remaining(now))
 	go func() { x.attempts <- x.try(ctx, chosen, call) }()
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -79,7 +79,7 @@
 		s.relay.NoEndpoint()
 		return
 	}
-	s.relay.Launched(now)
+	s.relay.RecordLaunch(now)
 	s.launched++
 	outcome, err := s.pass(ctx, chosen)
 	ended := &attempt{endpoint: chosen, outcome: outcome, status: s.status, err: err, crashed: s.agent.crashed(ctx, chosen.Address, outcome)}
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -123,8 +123,8 @@
 // LimitAttempts lowers the maximum number of attempts.
 func (r *Relay) LimitAttempts(most int) { r.maxAttempts = min(r.maxAttempts, most) }
 
-// Launched records that an attempt was started.
-func (r *Relay) Launched(now time.Time) {
+// RecordLaunch records that an attempt was started.
+func (r *Relay) RecordLaunch(now time.Time) {
 	r.launched++
 	r.open++
 	r.launchedAt = now
--- a/internal/request/relay/relay_test.go
+++ b/internal/request/relay/relay_test.go
@@ -92,7 +92,7 @@
 			for i, s := range c.steps {
 				now := start.Add(s.at)
 				if s.launch {
-					r.Launched(now)
+					r.RecordLaunch(now)
 				}
 				if s.ended != nil {
 					r.Ended(*s.ended)
@@ -138,7 +138,7 @@
 	} {
 		r := New(start, &route, 0)
 		for _, one := range c.before {
-			r.Launched(start)
+			r.RecordLaunch(start)
 			r.Ended(one)
 		}
 		r.Evacuated()
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -141,7 +141,7 @@
 	one, call := &o.items[index], o.job.Items[index].Scoring
 	try := one.scoring
 	try.exclude[chosen.ID] = true
-	try.relay.Launched(now)
+	try.relay.RecordLaunch(now)
 	one.scoringTries++
 	o.jobs.runs++
 	id := o.jobs.runs
