--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -130,7 +130,7 @@
 	defer timer.Stop()
 	select {
 	case ended := <-x.attempts:
-		x.relay.Ended(ended.outcome)
+		x.relay.RecordOutcome(ended.outcome)
 		if ended.outcome != relay.Answered && ended.outcome != relay.Errored {
 			x.agent.log.add(event.AttemptEnded, "request", x.id, "replica", ended.endpoint.ID, "status", ended.status, "outcome", int(ended.outcome),
 				"error", errorText(ended.err), "fingerprint", x.asked.Fingerprint.String(), "crashed", ended.crashed)
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -83,7 +83,7 @@
 	s.launched++
 	outcome, err := s.pass(ctx, chosen)
 	ended := &attempt{endpoint: chosen, outcome: outcome, status: s.status, err: err, crashed: s.agent.crashed(ctx, chosen.Address, outcome)}
-	s.relay.Ended(outcome)
+	s.relay.RecordOutcome(outcome)
 	s.agent.metrics.attempt(outcome)
 	s.agent.do(func(now time.Time) {
 		chosen.InFlight--
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -139,8 +139,8 @@
 	r.evacuated = true
 }
 
-// Ended records the outcome of an attempt.
-func (r *Relay) Ended(outcome Outcome) {
+// RecordOutcome records the outcome of an attempt.
+func (r *Relay) RecordOutcome(outcome Outcome) {
 	r.open--
 	r.ended = true
 	switch outcome {
--- a/internal/request/relay/relay_test.go
+++ b/internal/request/relay/relay_test.go
@@ -95,7 +95,7 @@
 					r.RecordLaunch(now)
 				}
 				if s.ended != nil {
-					r.Ended(*s.ended)
+					r.RecordOutcome(*s.ended)
 				}
 				if s.noEndpoint {
 					r.NoEndpoint()
@@ -139,7 +139,7 @@
 		r := New(start, &route, 0)
 		for _, one := range c.before {
 			r.RecordLaunch(start)
-			r.Ended(one)
+			r.RecordOutcome(one)
 		}
 		r.Evacuated()
 		got := r.Next(start)
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -189,7 +189,7 @@
 		return
 	}
 	delete(try.open, id)
-	try.relay.Ended(result.Outcome)
+	try.relay.RecordOutcome(result.Outcome)
 	o.noteCrash(now, one.scoringRequest, chosen, result.Crashed)
 	if chosen.RecordAttempt(now, result.Outcome, took) {
 		o.jobs.options.Queue.Log(event.ReplicaEjected, "replica", chosen.ID, "after_ms", took.Milliseconds())
