--- a/internal/process/agent/forward.go
+++ b/internal/process/agent/forward.go
@@ -52,7 +52,7 @@
 func (x *exchange) launch(ctx context.Context, now time.Time) {
 	chosen := x.choose()
 	if chosen == nil {
-		x.relay.NoEndpoint()
+		x.relay.RecordNoEndpoint()
 		return
 	}
 	x.relay.RecordLaunch(now)
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -76,7 +76,7 @@
 func (s *relayedStream) attempt(ctx context.Context, now time.Time) {
 	chosen := s.choose()
 	if chosen == nil {
-		s.relay.NoEndpoint()
+		s.relay.RecordNoEndpoint()
 		return
 	}
 	s.relay.RecordLaunch(now)
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -130,8 +130,8 @@
 	r.launchedAt = now
 }
 
-// NoEndpoint records that there is no other replica to try.
-func (r *Relay) NoEndpoint() { r.exhausted = true }
+// RecordNoEndpoint records that there is no other replica to try.
+func (r *Relay) RecordNoEndpoint() { r.exhausted = true }
 
 // Evacuated records that all remaining replicas are in evacuated zones.
 func (r *Relay) Evacuated() {
--- a/internal/request/relay/relay_test.go
+++ b/internal/request/relay/relay_test.go
@@ -98,7 +98,7 @@
 					r.RecordOutcome(*s.ended)
 				}
 				if s.noEndpoint {
-					r.NoEndpoint()
+					r.RecordNoEndpoint()
 				}
 				got := r.Next(now)
 				if got.Action != s.want || got.Status != s.status || (got.RetryAfter > 0) != s.retryAfter {
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -78,7 +78,7 @@
 			}
 			chosen := o.jobs.options.PlaceScoring(now, route, o.job.Tenant, one.scoring.exclude)
 			if chosen == nil {
-				one.scoring.relay.NoEndpoint()
+				one.scoring.relay.RecordNoEndpoint()
 				continue
 			}
 			o.sendScoring(now, index, chosen)
