--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -102,7 +102,7 @@
 		chosen = x.agent.node.Choose(now, x.route, x.caller.Tenant, x.agent.protocol.Model(x.request.Header), x.exclude)
 		x.noteChosen(now, chosen)
 		if chosen == nil && x.agent.node.AllEvacuated(x.route, x.caller.Tenant) {
-			x.relay.Evacuated()
+			x.relay.RecordEvacuated()
 		}
 		if chosen == nil && !x.relay.Pending() && x.agent.node.MoreReplicasAwaited() {
 			more = x.agent.untilReplicasKnown()
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -133,8 +133,8 @@
 // RecordNoEndpoint records that there is no other replica to try.
 func (r *Relay) RecordNoEndpoint() { r.exhausted = true }
 
-// Evacuated records that all remaining replicas are in evacuated zones.
-func (r *Relay) Evacuated() {
+// RecordEvacuated records that all remaining replicas are in evacuated zones.
+func (r *Relay) RecordEvacuated() {
 	r.exhausted = true
 	r.evacuated = true
 }
--- a/internal/request/relay/relay_test.go
+++ b/internal/request/relay/relay_test.go
@@ -141,7 +141,7 @@
 			r.RecordLaunch(start)
 			r.RecordOutcome(one)
 		}
-		r.Evacuated()
+		r.RecordEvacuated()
 		got := r.Next(start)
 		if got.Action != Fail || got.Status != c.status || got.RetryAfter != c.after || got.Reason != ReasonEvacuated {
 			t.Errorf("%s: %+v", c.name, got)
