--- a/internal/connection/upstream/silent_test.go
+++ b/internal/connection/upstream/silent_test.go
@@ -20,7 +20,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 1200*time.Millisecond)
 	defer cancel()
 	client := New()
-	client.SharesTime = true
+	client.ReserveRetryTime = true
 	_, err = client.Do(ctx, &Call{Address: silent.Address, Method: "GET", Target: "/", Host: "h"})
 	var failed *Error
 	if !errors.As(err, &failed) || failed.Sent {
@@ -39,7 +39,7 @@
 	if got := client.connectTimeout(short); got != dialTimeout {
 		t.Errorf("single region, 0.9 s left: got %s", got)
 	}
-	client.SharesTime = true
+	client.ReserveRetryTime = true
 	if got := client.connectTimeout(context.Background()); got != dialTimeout {
 		t.Errorf("without a deadline: got %s", got)
 	}
--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// dialTimeout is the timeout for opening a connection. With SharesTime it is limited to the
+	// dialTimeout is the timeout for opening a connection. With ReserveRetryTime it is limited to the
 	// remaining time of the call divided by dialFraction, but not below minDialTimeout, so that an
 	// unreachable replica leaves time for attempts at others.
 	dialTimeout    = 700 * time.Millisecond
@@ -88,10 +88,10 @@
 	// OnConnect, if set, is called with the time it took to open each connection for a call. It must be
 	// set before use.
 	OnConnect func(address string, took time.Duration)
-	// SharesTime limits the time for opening a connection so that most of a call's time remains for
+	// ReserveRetryTime limits the time for opening a connection so that most of a call's time remains for
 	// other replicas. It must be set before use. Multi-region deployments use it because whole regions
 	// can become unreachable.
-	SharesTime bool
+	ReserveRetryTime bool
 
 	mu     sync.Mutex
 	idle   map[string][]*connection
@@ -294,7 +294,7 @@
 // connectTimeout returns the timeout for opening a connection.
 func (c *Client) connectTimeout(ctx context.Context) time.Duration {
 	deadline, bounded := ctx.Deadline()
-	if !bounded || !c.SharesTime {
+	if !bounded || !c.ReserveRetryTime {
 		return dialTimeout
 	}
 	return min(dialTimeout, max(time.Until(deadline)/dialFraction, minDialTimeout))
--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -39,7 +39,7 @@
 	if !a.settings.Topology().Several() {
 		return
 	}
-	a.upstream.SharesTime = true
+	a.upstream.ReserveRetryTime = true
 	a.upstream.OnConnect = func(address string, took time.Duration) {
 		a.do(func(time.Time) { a.node.NoteConnection(address, took) })
 	}
