--- a/internal/connection/upstream/refuses_test.go
+++ b/internal/connection/upstream/refuses_test.go
@@ -13,18 +13,18 @@
 	}
 	address := listener.Addr().String()
 	client := New()
-	if client.Refuses(context.Background(), address) {
+	if client.RefusesConnections(context.Background(), address) {
 		t.Error("Refuses is true for an address with a listener")
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !client.Refuses(context.Background(), address) {
+	if !client.RefusesConnections(context.Background(), address) {
 		t.Error("Refuses is false for an address without a listener")
 	}
 	left, cancel := context.WithCancel(context.Background())
 	cancel()
-	if client.Refuses(left, address) {
+	if client.RefusesConnections(left, address) {
 		t.Error("Refuses is true although the context was cancelled")
 	}
 }
--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -26,7 +26,7 @@
 	dialTimeout    = 700 * time.Millisecond
 	dialFraction   = 3
 	minDialTimeout = 150 * time.Millisecond
-	// refusalTimeout is how long Refuses waits for a connection to be refused: a round trip, and the
+	// refusalTimeout is how long RefusesConnections waits for a connection to be refused: a round trip, and the
 	// same again for a busy machine.
 	refusalTimeout = 100 * time.Millisecond
 	// unackedTimeout is how long sent data may remain unacknowledged.
@@ -244,9 +244,9 @@
 	_ = a.conn.Close()
 }
 
-// Refuses reports whether connections to an address are refused, as nothing listens there. An address
+// RefusesConnections reports whether connections to an address are refused, as nothing listens there. An address
 // that does not respond does not count as refusing.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
 	opened, err := c.dial(ctx, address)
--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -94,7 +94,7 @@
 // off, though nobody cancelled it, and nothing listens there any more. An answer that merely breaks
 // off, as over a bad link or from a replica that garbles some, is not the request's fault.
 func (a *Agent) crashed(ctx context.Context, address string, outcome relay.Outcome) bool {
-	return outcome == relay.Broken && ctx.Err() == nil && a.upstream.Refuses(ctx, address)
+	return outcome == relay.Broken && ctx.Err() == nil && a.upstream.RefusesConnections(ctx, address)
 }
 
 // crashedBy is crashed for an exchange that ended by an error.
