--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -367,8 +367,8 @@
 	return c.opened
 }
 
-// Forget closes the idle connections to an address.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	gone := c.idle[address]
 	delete(c.idle, address)
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -296,7 +296,7 @@
 			a.replicasKnown = nil
 		}
 	case task.CloseIdleConnections:
-		a.upstream.Forget(t.Address)
+		a.upstream.CloseIdle(t.Address)
 	case task.Log:
 		a.log.add(t.Event, t.Fields...)
 	}
