--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -378,8 +378,8 @@
 	}
 }
 
-// Prune closes idle connections whose timeout has expired.
-func (c *Client) Prune(now time.Time) {
+// CloseExpired closes idle connections whose timeout has expired.
+func (c *Client) CloseExpired(now time.Time) {
 	var gone []*connection
 	c.mu.Lock()
 	for address, kept := range c.idle {
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -213,7 +213,7 @@
 		case <-options.Reload:
 			a.reload(options)
 		case <-prune.C:
-			a.upstream.Prune(time.Now())
+			a.upstream.CloseExpired(time.Now())
 		case <-ticker.C:
 			a.do(func(now time.Time) {
 				a.node.Tick(now)
