--- a/internal/connection/upstream/refuses_test.go
+++ b/internal/connection/upstream/refuses_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestRefuses(t *testing.T) {
+func TestRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -14,17 +14,17 @@
 	address := listener.Addr().String()
 	client := New()
 	if client.RefusesConnections(context.Background(), address) {
-		t.Error("Refuses is true for an address with a listener")
+		t.Error("RefusesConnections is true for an address with a listener")
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !client.RefusesConnections(context.Background(), address) {
-		t.Error("Refuses is false for an address without a listener")
+		t.Error("RefusesConnections is false for an address without a listener")
 	}
 	left, cancel := context.WithCancel(context.Background())
 	cancel()
 	if client.RefusesConnections(left, address) {
-		t.Error("Refuses is true although the context was cancelled")
+		t.Error("RefusesConnections is true although the context was cancelled")
 	}
 }
--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -26,8 +26,8 @@
 	dialTimeout    = 700 * time.Millisecond
 	dialFraction   = 3
 	minDialTimeout = 150 * time.Millisecond
-	// refusalTimeout is how long RefusesConnections waits for a connection to be refused: a round trip, and the
-	// same again for a busy machine.
+	// refusalTimeout is how long RefusesConnections waits for a connection to be refused: a round trip,
+	// and the same again for a busy machine.
 	refusalTimeout = 100 * time.Millisecond
 	// unackedTimeout is how long sent data may remain unacknowledged.
 	unackedTimeout = 2 * time.Second
@@ -244,8 +244,8 @@
 	_ = a.conn.Close()
 }
 
-// RefusesConnections reports whether connections to an address are refused, as nothing listens there. An address
-// that does not respond does not count as refusing.
+// RefusesConnections reports whether connections to an address are refused, as nothing listens there.
+// An address that does not respond does not count as refusing.
 func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -46,8 +46,8 @@
 	d.update()
 }
 
-// ExtraLatency returns the additional round-trip time to a zone compared with the node's own region. Zones of
-// the node's own region have none.
+// ExtraLatency returns the additional round-trip time to a zone compared with the node's own region.
+// Zones of the node's own region have none.
 func (d *Estimator) ExtraLatency(zone string) time.Duration {
 	if !d.multiRegion {
 		return 0
--- a/internal/process/distance/distance_test.go
+++ b/internal/process/distance/distance_test.go
@@ -9,7 +9,7 @@
 
 var topology = port.Topology{Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "north", "c": "south", "d": "south", "e": "west"}}
 
-func TestAway(t *testing.T) {
+func TestExtraLatency(t *testing.T) {
 	d := New(topology)
 	if got := d.ExtraLatency("c"); got != defaultDistance {
 		t.Errorf("unmeasured region: got %s, want the default", got)
--- a/internal/process/endpoint/cold.go
+++ b/internal/process/endpoint/cold.go
@@ -39,8 +39,8 @@
 	return e.ColdUntil
 }
 
-// MatchesColdState is a filter that keeps warm endpoints, or only cold ones if OnlyCold is set. Without a cold
-// period every endpoint is warm.
+// MatchesColdState is a filter that keeps warm endpoints, or only cold ones if OnlyCold is set. Without
+// a cold period every endpoint is warm.
 func MatchesColdState(q *Query, e *Endpoint) bool {
 	if q.ColdPeriod == 0 {
 		return !q.OnlyCold
--- a/internal/process/endpoint/cold_test.go
+++ b/internal/process/endpoint/cold_test.go
@@ -7,7 +7,7 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-func TestLearnCold(t *testing.T) {
+func TestUpdateCold(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	type update struct {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestWarmth(t *testing.T) {
+func TestMatchesColdState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cold := &Endpoint{ColdUntil: now.Add(time.Second)}
 	warm := &Endpoint{}
--- a/internal/process/endpoint/endpoint.go
+++ b/internal/process/endpoint/endpoint.go
@@ -185,8 +185,8 @@
 	return e.pace
 }
 
-// RecordTimeout records an attempt that timed out. An endpoint that recently responded to other requests is
-// considered overloaded. RecordTimeout reports whether the endpoint was ejected.
+// RecordTimeout records an attempt that timed out. An endpoint that recently responded to other
+// requests is considered overloaded. RecordTimeout reports whether the endpoint was ejected.
 func (e *Endpoint) RecordTimeout(now time.Time) bool {
 	if now.Sub(e.lastHeardAt) < livenessWindow {
 		return false
--- a/internal/process/endpoint/incarnation_test.go
+++ b/internal/process/endpoint/incarnation_test.go
@@ -16,7 +16,7 @@
 }
 
 // A replica that restarts with the same ID is a new endpoint without state.
-func TestIncarnations(t *testing.T) {
+func TestRestartCreatesNewEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		second port.ReplicaRecord
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -14,8 +14,8 @@
 	Zone, Region string
 	// Homes are the regions that the request is restricted to.
 	Homes port.Homes
-	// ExtraLatency returns the additional round-trip time to a zone compared with one in the node's own region.
-	// It is nil in a single-region deployment.
+	// ExtraLatency returns the additional round-trip time to a zone compared with one in the node's own
+	// region. It is nil in a single-region deployment.
 	ExtraLatency func(zone string) time.Duration
 	// WalkStart is the key whose ring position a walk over a large pool starts at.
 	WalkStart string
@@ -165,14 +165,14 @@
 // typicalLatency is the latency for which LowLatency is one half.
 const typicalLatency = 100 * time.Millisecond
 
-// LowLatency falls from 1 towards 0 as the endpoint's latency grows. An endpoint without a measured latency
-// scores 1, so that it is tried.
+// LowLatency falls from 1 towards 0 as the endpoint's latency grows. An endpoint without a measured
+// latency scores 1, so that it is tried.
 func LowLatency(_ *Query, e *Endpoint) float64 {
 	return float64(typicalLatency) / float64(typicalLatency+e.latency)
 }
 
-// SimilarPaceRatio is the factor of the best pace up to which endpoints count as equally fast. A full batch
-// is that much slower than a single run.
+// SimilarPaceRatio is the factor of the best pace up to which endpoints count as equally fast. A full
+// batch is that much slower than a single run.
 const SimilarPaceRatio = 1.12
 
 // FastPace is 1 for the fastest endpoints and falls towards 0 for slower ones. An endpoint of unknown
--- a/internal/process/endpoint/registry.go
+++ b/internal/process/endpoint/registry.go
@@ -51,7 +51,7 @@
 // Change describes a change of an endpoint.
 type Change struct {
 	Endpoint *Endpoint
-	// Added, Unschedulable and Removed are all unset for other updates.
+	// Added, Leaving and Removed are all unset for other updates.
 	Added, Leaving, Removed bool
 	// Previous is the previous incarnation that an added endpoint replaces, nil if there is none.
 	Previous *Endpoint
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// UnschedulableReason is the reason why an endpoint gets no new work. All sends to replicas check it through the
-// IsSchedulable filter.
+// UnschedulableReason is the reason why an endpoint gets no new work. All sends to replicas check it
+// through the IsSchedulable filter.
 type UnschedulableReason string
 
 // The reasons in order of precedence.
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -8,7 +8,7 @@
 )
 
 // Every profile excludes endpoints that get no new work.
-func TestWithheld(t *testing.T) {
+func TestUnschedulableReason(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(e *Endpoint)
--- a/internal/process/recordwatch/extent.go
+++ b/internal/process/recordwatch/extent.go
@@ -28,8 +28,9 @@
 	Extent func(now time.Time) Extent
 	// Known returns the number of known records.
 	Known func() int
-	// StartKey returns the key at which a partial read starts. Enough receives all records read from there
-	// and reports whether they suffice as a part; if not, the read continues, up to the whole table.
+	// StartKey returns the key at which a partial read starts. Enough receives all records read from
+	// there and reports whether they suffice as a part; if not, the read continues, up to the whole
+	// table.
 	StartKey func() string
 	Enough   func(records []port.Record) bool
 	// OnPart is called when the records last passed to Enough become the followed part. Records outside
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -45,8 +45,8 @@
 	Queue      *task.Queue
 	// Wait is how long the store may hold a watch call.
 	Wait time.Duration
-	// RereadInterval is the interval of full reads, which detect changes that the watch missed. With 0, the
-	// table is only read again after failures.
+	// RereadInterval is the interval of full reads, which detect changes that the watch missed. With 0,
+	// the table is only read again after failures.
 	RereadInterval time.Duration
 	// MinDelay is the delay between calls, which batches changes. Refusals increase it up to MaxDelay,
 	// as all nodes share the store's capacity. If both are equal, the delay is fixed.
@@ -54,7 +54,7 @@
 	// Relaxed, if set, reports whether the node can tolerate late changes. Calls that return changes
 	// are then rate limited.
 	Relaxed func(now time.Time) bool
-	// PartialOptions, if set, allows following only a part of the table.
+	// Partial, if set, allows following only a part of the table.
 	Partial *PartialOptions
 	// Jitter, from 0 to 1, spreads the nodes' calls after refusals and, with a Distance, after
 	// failures.
--- a/internal/process/recordwatch/recordwatch_test.go
+++ b/internal/process/recordwatch/recordwatch_test.go
@@ -293,7 +293,7 @@
 	}
 	w.SkipDelay(now)
 	if got := run(3 * time.Millisecond); got != 1 {
-		t.Errorf("%d calls after Hasten, want 1", got)
+		t.Errorf("%d calls after SkipDelay, want 1", got)
 	}
 	relaxed = false
 	if got := run(time.Second); got < 20 {
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -49,7 +49,8 @@
 	Urgent bool
 	// After is the ID of the event after which to continue, 0 to start from the beginning.
 	After int64
-	// FirstEventTimeout is the timeout for the first event and NextEventTimeout the timeout between two events.
+	// FirstEventTimeout is the timeout for the first event and NextEventTimeout the timeout between two
+	// events.
 	FirstEventTimeout, NextEventTimeout time.Duration
 	// Progress is called periodically with the new events of the run and its pace, 0 if there is no new
 	// measurement. Its result tells whether to stop the run with RunSlow.
@@ -162,7 +163,8 @@
 // NotifyJob notifies the clients waiting for a batch job of a change.
 type NotifyJob struct{ Job string }
 
-// NotifyReplicasRead notifies requests that are waiting for the replica list that replicas have been read.
+// NotifyReplicasRead notifies requests that are waiting for the replica list that replicas have been
+// read.
 type NotifyReplicasRead struct{}
 
 func (NotifyReplicasRead) isTask() {}
--- a/internal/request/access/access.go
+++ b/internal/request/access/access.go
@@ -44,7 +44,8 @@
 	TenantsConfigured bool
 }
 
-// MayAccess reports whether the caller may access a resource of a tenant: its own or one without a tenant.
+// MayAccess reports whether the caller may access a resource of a tenant: its own or one without a
+// tenant.
 func (c Caller) MayAccess(tenant string) bool {
 	return !c.TenantsConfigured || tenant == "" || tenant == c.Tenant
 }
@@ -64,9 +65,9 @@
 	Unconfirmed
 )
 
-// Authenticate authenticates a call. age is the time since the configuration was last confirmed by the store.
-// Without tenants every caller is admitted; with tenants, callers without a known key are admitted only
-// if the call is anonymous.
+// Authenticate authenticates a call. age is the time since the configuration was last confirmed by the
+// store. Without tenants every caller is admitted; with tenants, callers without a known key are
+// admitted only if the call is anonymous.
 func (p Policy) Authenticate(tenants Tenants, call Call, age time.Duration) (Caller, Verdict) {
 	if !tenants.HasTenants() {
 		return Caller{}, Admitted
--- a/internal/request/access/access_test.go
+++ b/internal/request/access/access_test.go
@@ -17,7 +17,7 @@
 	return name, known
 }
 
-func TestJudge(t *testing.T) {
+func TestAuthenticate(t *testing.T) {
 	red := keys{port.DigestKey("r"): "red"}
 	known := Call{Key: port.DigestKey("r"), HasKey: true}
 	unknown := Call{Key: port.DigestKey("x"), HasKey: true}
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestMayUse(t *testing.T) {
+func TestMayAccess(t *testing.T) {
 	for _, c := range []struct {
 		who    Caller
 		tenant string
