--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -80,7 +80,7 @@
 		lowestDelay: true,
 	}
 	Rollouts = Profile{
-		filters: []Filter{IsSchedulable, InHomes, NotExcluded, NotEjected, VersionReached, NotLoading, HasRoom},
+		filters: []Filter{IsSchedulable, InHomes, NotExcluded, NotEjected, VersionReached, NotLoading, BelowMaxLoad},
 		scorers: []weightedScorer{{LeastLoad, 4}, {SlowPace, 4}, {Preferred, 3}, {FreeSlot, 3}, {FreeMemory, 4}, {Near, 0.5}},
 	}
 	LongRollouts = Profile{
@@ -93,7 +93,7 @@
 		scorers: LongRollouts.scorers,
 	}
 	ScoringCalls = Profile{
-		filters:     append(slices.Clone(Requests.filters), HasRoom),
+		filters:     append(slices.Clone(Requests.filters), BelowMaxLoad),
 		scorers:     Requests.scorers,
 		lowestDelay: true,
 	}
@@ -116,8 +116,8 @@
 	return q.Model == "" || e.Versions[q.Model] >= q.MinVersion
 }
 
-// HasRoom drops endpoints that have reached the query's load limit.
-func HasRoom(q *Query, e *Endpoint) bool {
+// BelowMaxLoad drops endpoints that have reached the query's load limit.
+func BelowMaxLoad(q *Query, e *Endpoint) bool {
 	return float64(e.Load(q.Now)) < q.MaxLoad*float64(max(e.Slots, 1))
 }
 
