--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -163,7 +163,7 @@
 	if before := n.endpoints.Find(use.origins[service]); before != nil && !before.Unschedulable() {
 		return before.ID
 	}
-	first := pool.First(n.options.Name)
+	first := pool.FirstSchedulable(n.options.Name)
 	if first == nil {
 		return ""
 	}
--- a/internal/process/endpoint/pool.go
+++ b/internal/process/endpoint/pool.go
@@ -42,9 +42,9 @@
 	return p.byID
 }
 
-// First returns the first endpoint accepting new work at or after the ring position of a name, nil if
+// FirstSchedulable returns the first endpoint accepting new work at or after the ring position of a name, nil if
 // there is none.
-func (p *Pool) First(name string) *Endpoint {
+func (p *Pool) FirstSchedulable(name string) *Endpoint {
 	var first *Endpoint
 	p.all.walk(ringPosition(name), func(e *Endpoint) bool {
 		if !e.Unschedulable() {
