--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -175,7 +175,7 @@
 		n.queue.Log(event.ReplicaRemoved, "replica", one.ID, "service", one.Service, "in_flight", one.InFlight)
 		n.queue.Add(task.CloseIdleConnections{Address: one.Address})
 		n.forgetCold(now, one.ID)
-	case change.Leaving:
+	case change.DrainStarted:
 		n.queue.Log(event.ReplicaLeaving, "replica", one.ID, "service", one.Service, "in_flight", one.InFlight)
 	}
 }
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -129,7 +129,7 @@
 	r.Find("a").UpdateVersion("m", 5)
 	record := newEndpoint("a").ReplicaRecord
 	record.Draining = true
-	if change := r.Put(record); !change.Leaving || r.Find("a").Versions["m"] != 5 {
+	if change := r.Put(record); !change.DrainStarted || r.Find("a").Versions["m"] != 5 {
 		t.Errorf("%+v: a record written before a load must not lower the version", change)
 	}
 	r.Put(newEndpoint("b").ReplicaRecord)
--- a/internal/process/endpoint/registry.go
+++ b/internal/process/endpoint/registry.go
@@ -51,8 +51,8 @@
 // Change describes a change of an endpoint.
 type Change struct {
 	Endpoint *Endpoint
-	// Added, Leaving and Removed are all unset for other updates.
-	Added, Leaving, Removed bool
+	// Added, DrainStarted and Removed are all unset for other updates.
+	Added, DrainStarted, Removed bool
 	// Previous is the previous incarnation that an added endpoint replaces, nil if there is none.
 	Previous *Endpoint
 }
@@ -82,13 +82,13 @@
 	known.ReplicaRecord = record
 	known.Versions = before
 	known.pool.setVersions(known, versions)
-	return Change{Endpoint: known, Leaving: leaving}
+	return Change{Endpoint: known, DrainStarted: leaving}
 }
 
 func (r *Registry) add(record port.ReplicaRecord) Change {
 	fresh := &Endpoint{ReplicaRecord: record}
 	r.insert(fresh)
-	return Change{Endpoint: fresh, Added: true, Leaving: record.Draining}
+	return Change{Endpoint: fresh, Added: true, DrainStarted: record.Draining}
 }
 
 func (r *Registry) insert(e *Endpoint) {
