--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -29,7 +29,7 @@
 	query.Model, query.MinVersion = wanted.Model, wanted.MinVersion
 	query.WalkStart = wanted.Model
 	query.DryRun = wanted.Look
-	query.Prefer = wanted.Prefer
+	query.PreferredID = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
 	query.MaxLoad, query.RequirePace = rolloutRoom, wanted.Paced
 	query.Exclude = excluded(wanted)
--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -55,7 +55,7 @@
 	slow.UpdatePace(now, 80*time.Millisecond)
 	batch := newEndpoint("batch")
 	batch.UpdatePace(now, 44*time.Millisecond)
-	query := &Query{Now: now, Zone: "z", BestPace: 40 * time.Millisecond, Prefer: "busy", MaxLoad: 2}
+	query := &Query{Now: now, Zone: "z", BestPace: 40 * time.Millisecond, PreferredID: "busy", MaxLoad: 2}
 	for _, c := range []struct {
 		name      string
 		got, want float64
--- a/internal/process/endpoint/pick.go
+++ b/internal/process/endpoint/pick.go
@@ -24,8 +24,8 @@
 	MinVersion int64
 	// Exclude holds the IDs of endpoints that the request has already been sent to.
 	Exclude map[string]bool
-	// Prefer is the ID of the endpoint that has the request's prompt cached.
-	Prefer string
+	// PreferredID is the ID of the endpoint that has the request's prompt cached.
+	PreferredID string
 	// MaxLoad limits the requests on an endpoint, as a multiple of its slots.
 	MaxLoad float64
 	// Tokens is the memory that the request is expected to use and MemoryTokens the memory of a
@@ -201,7 +201,7 @@
 
 // Preferred is 1 for the endpoint that has the prompt cached and 0 for others.
 func Preferred(q *Query, e *Endpoint) float64 {
-	if q.Prefer != "" && e.ID == q.Prefer {
+	if q.PreferredID != "" && e.ID == q.PreferredID {
 		return 1
 	}
 	return 0
--- a/internal/process/endpoint/walk.go
+++ b/internal/process/endpoint/walk.go
@@ -57,10 +57,10 @@
 
 // visitPreferred visits the endpoint that has the request's prompt cached.
 func (w *walk) visitPreferred(pool *Pool) {
-	if w.query.Prefer == "" {
+	if w.query.PreferredID == "" {
 		return
 	}
-	at, found := slices.BinarySearchFunc(pool.All(), w.query.Prefer, func(e *Endpoint, id string) int { return cmp.Compare(e.ID, id) })
+	at, found := slices.BinarySearchFunc(pool.All(), w.query.PreferredID, func(e *Endpoint, id string) int { return cmp.Compare(e.ID, id) })
 	if found {
 		w.visit(pool.All()[at])
 	}
@@ -89,7 +89,7 @@
 	idle := HasSlot(w.query, e)
 	switch {
 	case w.profile.allowed(w.query, e):
-		if w.query.Prefer != e.ID || !slices.Contains(w.usable, e) {
+		if w.query.PreferredID != e.ID || !slices.Contains(w.usable, e) {
 			w.usable = append(w.usable, e)
 		}
 		if idle {
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -123,9 +123,9 @@
 	_, pool := newTestPool(9625)
 	q := itemQuery(1)
 	for i := range 50 {
-		q.Prefer = pool.All()[i*190].ID
-		if got := Rollouts.Choose(q, pool); got.ID != q.Prefer {
-			t.Errorf("chose %s, want %s, which has the prompt cached", got.ID, q.Prefer)
+		q.PreferredID = pool.All()[i*190].ID
+		if got := Rollouts.Choose(q, pool); got.ID != q.PreferredID {
+			t.Errorf("chose %s, want %s, which has the prompt cached", got.ID, q.PreferredID)
 		}
 	}
 }
--- a/internal/process/endpoint/withheld_test.go
+++ b/internal/process/endpoint/withheld_test.go
@@ -28,7 +28,7 @@
 		}
 		for name, profile := range map[string]*Profile{"requests": &Requests, "rollouts": &Rollouts, "long": &LongRollouts, "scoring": &ScoringCalls} {
 			// AllowEjected admits ejected endpoints but not those that get no new work.
-			query := &Query{Now: now, Model: "m", MaxLoad: 1.5, AllowEjected: true, Prefer: "e"}
+			query := &Query{Now: now, Model: "m", MaxLoad: 1.5, AllowEjected: true, PreferredID: "e"}
 			if got := profile.Pick(query, []*Endpoint{e}) != nil; got != (c.want == Schedulable) {
 				t.Errorf("%s: eligible for %s: %t", c.name, name, got)
 			}
