--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -30,10 +30,10 @@
 	var rows [][]string
 	for _, one := range deployment.Replicas {
 		known := endpoint.Endpoint{ReplicaRecord: one, Evacuated: evacuated[one.Zone]}
-		known.Held = configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
+		known.OperatorDrained = configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
 			configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, one.Zone)
 		state := "ready"
-		if reason := known.Withheld(); reason != endpoint.NotWithheld {
+		if reason := known.UnschedulableReason(); reason != endpoint.Schedulable {
 			state = string(reason)
 		} else if one.ColdFor > 0 {
 			state = "cold"
--- a/internal/connection/upstream/refuses_test.go
+++ b/internal/connection/upstream/refuses_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-func TestRefuses(t *testing.T) {
+func TestRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	client := New()
-	if client.Refuses(context.Background(), address) {
-		t.Error("an address with a listener refuses nothing")
+	if client.RefusesConnections(context.Background(), address) {
+		t.Error("RefusesConnections is true for an address with a listener")
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !client.Refuses(context.Background(), address) {
-		t.Error("an address whose listener is gone refuses connections")
+	if !client.RefusesConnections(context.Background(), address) {
+		t.Error("RefusesConnections is false for an address without a listener")
 	}
 	left, cancel := context.WithCancel(context.Background())
 	cancel()
-	if client.Refuses(left, address) {
-		t.Error("nothing is known of an address that was not asked")
+	if client.RefusesConnections(left, address) {
+		t.Error("RefusesConnections is true although the context was cancelled")
 	}
 }
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -213,7 +213,7 @@
 		case <-options.Reload:
 			a.reload(options)
 		case <-prune.C:
-			a.upstream.Prune(time.Now())
+			a.upstream.CloseExpired(time.Now())
 		case <-ticker.C:
 			a.do(func(now time.Time) {
 				a.node.Tick(now)
@@ -275,28 +275,28 @@
 		if cancel := a.runCancels[t.ID]; cancel != nil {
 			cancel()
 		}
-	case task.Order:
+	case task.OrderVersion:
 		go a.order(a.leaseContext, t)
-	case task.Report:
+	case task.FetchReport:
 		go a.report(t)
 	case task.ReportUsage:
 		go a.reportUsage(a.leaseContext, t)
 	case task.OrderReplicas:
 		go a.orderReplicas(a.leaseContext, t)
-	case task.Later:
+	case task.Timer:
 		time.AfterFunc(t.After, func() { a.do(t.Do) })
-	case task.Wake:
+	case task.NotifyJob:
 		if waiter := a.jobWaiters[t.Job]; waiter != nil {
 			close(waiter)
 			delete(a.jobWaiters, t.Job)
 		}
-	case task.ReplicasKnown:
+	case task.NotifyReplicasRead:
 		if a.replicasKnown != nil {
 			close(a.replicasKnown)
 			a.replicasKnown = nil
 		}
-	case task.Forget:
-		a.upstream.Forget(t.Address)
+	case task.CloseIdleConnections:
+		a.upstream.CloseIdle(t.Address)
 	case task.Log:
 		a.log.add(t.Event, t.Fields...)
 	}
--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -101,7 +101,7 @@
 		chosen = x.agent.node.Choose(now, x.route, x.caller.Tenant, x.agent.protocol.Model(x.request.Header), x.exclude)
 		x.recordChoice(now, chosen)
 		if chosen == nil && x.agent.node.AllEvacuated(x.route, x.caller.Tenant) {
-			x.relay.Evacuated()
+			x.relay.RecordEvacuated()
 		}
 		if chosen == nil && !x.relay.Pending() && x.agent.node.LoadingMoreReplicas() {
 			more = x.agent.replicasKnownChannel()
@@ -129,7 +129,7 @@
 	defer timer.Stop()
 	select {
 	case ended := <-x.attempts:
-		x.relay.Ended(ended.outcome)
+		x.relay.RecordOutcome(ended.outcome)
 		if ended.outcome != relay.Answered && ended.outcome != relay.Errored {
 			x.agent.log.add(event.AttemptEnded, "request", x.id, "replica", ended.endpoint.ID, "status", ended.status, "outcome", int(ended.outcome),
 				"error", errorText(ended.err), "fingerprint", x.identity.Fingerprint.String(), "crashed", ended.crashed)
@@ -157,7 +157,7 @@
 	x.agent.do(func(now time.Time) {
 		chosen.InFlight--
 		if running, waiting, _, ok := x.agent.protocol.Load(ended.header); ok {
-			chosen.LearnLoad(now, running, waiting)
+			chosen.UpdateLoad(now, running, waiting)
 		}
 		x.recordAttempt(now, ended, now.Sub(startedAt), ctx.Err() != nil)
 		x.reportToQuarantine(now, ended)
@@ -187,7 +187,7 @@
 	if cancelled && ended.outcome != relay.Answered {
 		return
 	}
-	if ended.endpoint.Attempted(now, ended.outcome, took) {
+	if ended.endpoint.RecordAttempt(now, ended.outcome, took) {
 		x.agent.log.add(event.ReplicaEjected, "replica", ended.endpoint.ID, "after_ms", took.Milliseconds())
 	}
 }
--- a/internal/process/agent/forward.go
+++ b/internal/process/agent/forward.go
@@ -52,12 +52,12 @@
 func (x *exchange) launch(ctx context.Context, now time.Time) {
 	chosen := x.choose()
 	if chosen == nil {
-		x.relay.NoEndpoint()
+		x.relay.RecordNoEndpoint()
 		return
 	}
-	x.relay.Launched(now)
+	x.relay.RecordLaunch(now)
 	x.launched++
-	call := x.newCall(chosen, x.relay.Left(now))
+	call := x.newCall(chosen, x.relay.Remaining(now))
 	go func() { x.attempts <- x.try(ctx, chosen, call) }()
 }
 
--- a/internal/process/agent/job.go
+++ b/internal/process/agent/job.go
@@ -128,7 +128,7 @@
 				func(outcome batch.Outcome) { done <- jobSnapshot{outcome: outcome} })
 		})
 	})
-	if read.outcome == batch.Applied && !caller.MayUse(read.state.Tenant) {
+	if read.outcome == batch.Applied && !caller.MayAccess(read.state.Tenant) {
 		read.outcome = batch.NotFound
 	}
 	if read.outcome != batch.Applied {
--- a/internal/process/agent/metrics.go
+++ b/internal/process/agent/metrics.go
@@ -139,7 +139,7 @@
 
 // registerWithheld registers the number of replicas that get no new work, by reason.
 func (m *metrics) registerWithheld(a *Agent) {
-	for _, reason := range []endpoint.Withheld{endpoint.WithheldLeaving, endpoint.WithheldDrained, endpoint.WithheldEvacuated} {
+	for _, reason := range []endpoint.UnschedulableReason{endpoint.UnschedulableLeaving, endpoint.UnschedulableDrained, endpoint.UnschedulableEvacuated} {
 		options := prometheus.GaugeOpts{
 			Name: "doorstep_replicas_withheld", Help: "Replicas that get no new work, by the reason.",
 			ConstLabels: prometheus.Labels{"reason": string(reason)},
@@ -183,7 +183,7 @@
 func (m *metrics) run(outcome task.RunOutcome, waited, took time.Duration) {
 	names := map[task.RunOutcome]string{
 		task.RunCompleted: "completed", task.RunInterrupted: "interrupted", task.RunFailed: "failed",
-		task.RunImpossible: "impossible", task.RunRefused: "refused", task.RunUnreachable: "unreachable", task.RunSilent: "silent", task.RunSlow: "slow",
+		task.RunImpossible: "impossible", task.RunRefused: "refused", task.RunUnreachable: "unreachable", task.RunTimedOut: "silent", task.RunSlow: "slow",
 	}
 	m.runs.WithLabelValues(names[outcome]).Observe(took.Seconds())
 	m.queueTimes.Observe(waited.Seconds())
--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -90,7 +90,7 @@
 // a cancellation, and nothing listens at the address any more. A broken connection alone may be a
 // network fault or a corrupt response.
 func (a *Agent) crashed(ctx context.Context, address string, outcome relay.Outcome) bool {
-	return outcome == relay.Broken && ctx.Err() == nil && a.upstream.Refuses(ctx, address)
+	return outcome == relay.Broken && ctx.Err() == nil && a.upstream.RefusesConnections(ctx, address)
 }
 
 // crashedWithError is crashed for a call that returned an error.
--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -39,7 +39,7 @@
 	if !a.settings.Topology().MultiRegion() {
 		return
 	}
-	a.upstream.SharesTime = true
+	a.upstream.ReserveRetryTime = true
 	a.upstream.OnConnect = func(address string, took time.Duration) {
 		a.do(func(time.Time) { a.node.ObserveConnectTime(address, took) })
 	}
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -46,7 +46,7 @@
 	if t.After > 0 {
 		a.protocol.SetLastEvent(header, strconv.FormatInt(t.After, 10))
 	}
-	eventTimeout := time.AfterFunc(t.FirstWithin, cancel)
+	eventTimeout := time.AfterFunc(t.FirstEventTimeout, cancel)
 	defer eventTimeout.Stop()
 	startedAt := time.Now()
 	answer, err := a.upstream.Do(ctx, &upstream.Call{
@@ -55,7 +55,7 @@
 	})
 	if err != nil {
 		if ctx.Err() != nil {
-			return task.RunResult{Outcome: task.RunSilent}
+			return task.RunResult{Outcome: task.RunTimedOut}
 		}
 		return task.RunResult{Outcome: task.RunUnreachable, Crashed: a.crashedWithError(ctx, t.Address, err)}
 	}
@@ -78,7 +78,7 @@
 			result.Crashed = a.crashedWithError(ctx, t.Address, err)
 			return result
 		}
-		eventTimeout.Reset(t.NextWithin)
+		eventTimeout.Reset(t.NextEventTimeout)
 		if len(result.Events) == 0 {
 			result.FirstEvent = time.Since(startedAt)
 		}
@@ -161,13 +161,13 @@
 	}
 	a.do(func(now time.Time) {
 		if found := a.node.Endpoints().Find(replica); found != nil {
-			found.LearnLoad(now, running, waiting)
+			found.UpdateLoad(now, running, waiting)
 		}
 	})
 }
 
 // order sends a version order to a replica.
-func (a *Agent) order(ctx context.Context, t task.Order) {
+func (a *Agent) order(ctx context.Context, t task.OrderVersion) {
 	path, body := a.protocol.EncodeOrder(t.Order)
 	status := port.VersionOrderUnknown
 	code, _, err := a.callReplica(ctx, t.Order.Replica, t.Order.Address, http.MethodPost, path, body, t.Limit)
@@ -178,7 +178,7 @@
 }
 
 // report requests a replica's state.
-func (a *Agent) report(t task.Report) {
+func (a *Agent) report(t task.FetchReport) {
 	var report port.ReplicaReport
 	code, content, err := a.callReplica(a.base, t.Replica, t.Address, http.MethodGet, a.protocol.ReportPath(), nil, controlTimeout)
 	if err == nil && code == http.StatusOK {
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -76,14 +76,14 @@
 func (s *relayedStream) attempt(ctx context.Context, now time.Time) {
 	chosen := s.choose()
 	if chosen == nil {
-		s.relay.NoEndpoint()
+		s.relay.RecordNoEndpoint()
 		return
 	}
-	s.relay.Launched(now)
+	s.relay.RecordLaunch(now)
 	s.launched++
 	outcome, err := s.relayFrom(ctx, chosen)
 	ended := &attempt{endpoint: chosen, outcome: outcome, status: s.status, err: err, crashed: s.agent.crashed(ctx, chosen.Address, outcome)}
-	s.relay.Ended(outcome)
+	s.relay.RecordOutcome(outcome)
 	s.agent.metrics.attempt(outcome)
 	s.agent.do(func(now time.Time) {
 		chosen.InFlight--
@@ -98,7 +98,7 @@
 
 // relayFrom sends the request to a replica and relays its events.
 func (s *relayedStream) relayFrom(ctx context.Context, chosen *endpoint.Endpoint) (relay.Outcome, error) {
-	call := s.newCall(chosen, s.relay.Left(time.Now()))
+	call := s.newCall(chosen, s.relay.Remaining(time.Now()))
 	if s.headerSent {
 		s.agent.protocol.SetLastEvent(call.Header, strconv.FormatInt(s.last, 10))
 	}
--- a/internal/process/agent/tenant.go
+++ b/internal/process/agent/tenant.go
@@ -18,11 +18,11 @@
 func (a *Agent) identify(table *routes.Table, header http.Header, anonymous bool) (access.Caller, access.Verdict) {
 	policy := access.Policy{Strict: a.settings.Tenants.Strict, Revocation: a.settings.Tenants.Revocation()}
 	call := access.Call{Anonymous: anonymous}
-	call.Key, call.Given = a.protocol.APIKey(header)
+	call.Key, call.HasKey = a.protocol.APIKey(header)
 	a.mu.Lock()
 	age := a.node.ConfigurationAge(a.clock.Now())
 	a.mu.Unlock()
-	return policy.Judge(table, call, age)
+	return policy.Authenticate(table, call, age)
 }
 
 // admit calls identify and responds if the caller is not admitted.
@@ -52,7 +52,7 @@
 
 // setTenantHeader replaces the caller's key with its tenant in a request to a replica.
 func (a *Agent) setTenantHeader(header http.Header, caller access.Caller) {
-	if caller.Told {
+	if caller.TenantsConfigured {
 		a.protocol.SetTenant(header, caller.Tenant)
 	}
 }
@@ -63,5 +63,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	table := a.node.Routes()
-	return access.Caller{Tenant: tenant, Told: tenant != "" || table != nil && table.HasTenants()}
+	return access.Caller{Tenant: tenant, TenantsConfigured: tenant != "" || table != nil && table.HasTenants()}
 }
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -77,7 +77,7 @@
 	routes    *routes.Table
 	splitter  *routes.Splitter
 	endpoints *endpoint.Registry
-	distances *distance.Distances
+	distances *distance.Estimator
 	jobs      *batch.Jobs
 	// quarantine tracks requests that crash replicas.
 	quarantine *quarantine.Quarantine
@@ -152,7 +152,7 @@
 // sharedObservedUntil returns the time up to which changes of the shared table are known, zero before
 // the first read.
 func (n *Node) sharedObservedUntil(now time.Time) time.Time {
-	if !n.shared.Read() {
+	if !n.shared.HasRead() {
 		return time.Time{}
 	}
 	return n.shared.ObservedUntil(now)
@@ -247,11 +247,11 @@
 	}
 	answered := time.Time{}
 	for _, watch := range n.watches {
-		if !watch.Read() {
+		if !watch.HasRead() {
 			return false
 		}
-		if watch.AnswerAt().After(answered) {
-			answered = watch.AnswerAt()
+		if watch.LastAnswerAt().After(answered) {
+			answered = watch.LastAnswerAt()
 		}
 	}
 	return now.Sub(answered) <= readinessTimeout
--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -72,8 +72,8 @@
 func (n *Node) learnCold(now time.Time, put endpoint.Change) {
 	one := put.Endpoint
 	// Other nodes may still treat a replica that restarted under the same ID as warm.
-	wasWarm := !put.Added && !now.Before(one.ColdUntil) || put.Former != nil && !now.Before(put.Former.ColdUntil)
-	one.LearnCold(now)
+	wasWarm := !put.Added && !now.Before(one.ColdUntil) || put.Previous != nil && !now.Before(put.Previous.ColdUntil)
+	one.UpdateCold(now)
 	limit, ok := n.coldLimit(one.Service)
 	if !ok || !now.Before(one.ColdUntil) || n.cold.known[one.ID] {
 		return
@@ -119,16 +119,16 @@
 // limited by the replica's token bucket. Callers' requests are limited only while the list of replicas is
 // stale, when replicas may have turned cold unnoticed.
 func (n *Node) setPermit(query *endpoint.Query, service string) {
-	query.ColdLasts, query.Permit = 0, nil
+	query.ColdPeriod, query.Permit = 0, nil
 	limit, ok := n.coldLimit(service)
 	if !ok {
 		return
 	}
-	query.ColdLasts = limit.Duration
-	if query.Unguarded || query.Room == 0 && n.DiscoveryAge(query.Now) < maxDiscoveryAge {
+	query.ColdPeriod = limit.Duration
+	if query.IncludeRateLimited || query.MaxLoad == 0 && n.DiscoveryAge(query.Now) < maxDiscoveryAge {
 		return
 	}
-	items := query.Room > 0
+	items := query.MaxLoad > 0
 	query.Permit = func(e *endpoint.Endpoint) bool {
 		return n.cold.gate.Allows(query.Now, e.ID, service, limit, n.sender(query.Now, e, items))
 	}
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -84,7 +84,7 @@
 			answer(t.Done, func() port.RecordResult { return c.store.Range(c.Now, t.Query) })
 		case task.Watch:
 			c.watch(t, c.Now.Add(t.Wait))
-		case task.Later:
+		case task.Timer:
 			c.After(t.After, func() { c.do(t.Do) })
 		}
 	}
@@ -263,7 +263,7 @@
 	}{
 		{"replica ejected", func(c *coldNode, chosen *endpoint.Endpoint) {
 			for range 4 {
-				chosen.Failed(c.Now)
+				chosen.RecordFailure(c.Now)
 			}
 		}, true},
 		{"replica draining", func(_ *coldNode, chosen *endpoint.Endpoint) { chosen.Draining = true }, true},
--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -16,7 +16,7 @@
 // chooseCold chooses a cold endpoint for which this node holds granted requests. If there is none, it claims
 // requests for the next attempt of an item; retry reports whether that attempt may succeed.
 func (n *Node) chooseCold(profile *endpoint.Profile, query endpoint.Query, order []string) (chosen *endpoint.Endpoint, retry bool) {
-	if query.Look {
+	if query.DryRun {
 		return nil, false
 	}
 	query.OnlyCold = true
@@ -34,13 +34,13 @@
 		if chosen := profile.Choose(&granted, n.endpoints.Pool(service)); chosen != nil {
 			return chosen, true
 		}
-		if query.Room > 0 {
+		if query.MaxLoad > 0 {
 			n.claimForItems(profile, query, service, limit)
 		}
 		anyRoom := query
 		anyRoom.Permit = nil
-		if query.Room > 0 {
-			anyRoom.Room = math.Inf(1)
+		if query.MaxLoad > 0 {
+			anyRoom.MaxLoad = math.Inf(1)
 		}
 		retry = retry || profile.Choose(&anyRoom, n.endpoints.Pool(service)) != nil
 	}
@@ -88,7 +88,7 @@
 		if !ok {
 			continue
 		}
-		query.ColdLasts = limit.Duration
+		query.ColdPeriod = limit.Duration
 		query.Permit = nil
 		if endpoint.Requests.Choose(query, n.endpoints.Pool(service)) == nil {
 			continue
@@ -138,6 +138,6 @@
 func (n *Node) stillUsable(call *coldRequest, chosen *endpoint.Endpoint) bool {
 	call.query.Homes = n.Homes(call.route, call.tenant)
 	query := *call.query
-	query.ColdLasts, query.OnlyCold, query.Permit = 0, false, nil
+	query.ColdPeriod, query.OnlyCold, query.Permit = 0, false, nil
 	return n.endpoints.Find(chosen.ID) == chosen && endpoint.Requests.Pick(&query, []*endpoint.Endpoint{chosen}) != nil
 }
--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -74,12 +74,12 @@
 	homes, evacuated := n.Homes(route, tenant), false
 	for _, backend := range route.Backends {
 		for _, e := range inHomes(homes, n.endpoints.Service(backend.Service)) {
-			switch e.Withheld() {
-			case endpoint.NotWithheld:
+			switch e.UnschedulableReason() {
+			case endpoint.Schedulable:
 				return false
-			case endpoint.WithheldEvacuated:
+			case endpoint.UnschedulableEvacuated:
 				evacuated = true
-			case endpoint.WithheldLeaving, endpoint.WithheldDrained:
+			case endpoint.UnschedulableLeaving, endpoint.UnschedulableDrained:
 			}
 		}
 	}
@@ -87,10 +87,10 @@
 }
 
 // WithheldReplicas counts the replicas that get no new work by reason.
-func (n *Node) WithheldReplicas() map[endpoint.Withheld]int {
-	counts := map[endpoint.Withheld]int{}
+func (n *Node) WithheldReplicas() map[endpoint.UnschedulableReason]int {
+	counts := map[endpoint.UnschedulableReason]int{}
 	for _, e := range n.endpoints.All() {
-		if reason := e.Withheld(); reason != endpoint.NotWithheld {
+		if reason := e.UnschedulableReason(); reason != endpoint.Schedulable {
 			counts[reason]++
 		}
 	}
--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -56,16 +56,16 @@
 
 // ObserveConnectTime records how long it took to connect to a replica's address.
 func (n *Node) ObserveConnectTime(address string, took time.Duration) {
-	if one := n.endpoints.At(address); one != nil {
-		n.distances.Note(one.Zone, took)
+	if one := n.endpoints.FindByAddress(address); one != nil {
+		n.distances.Observe(one.Zone, took)
 	}
 }
 
 // InOtherRegion reports whether a replica is in a different region than this node.
 func (n *Node) InOtherRegion(replica string) bool {
 	one := n.endpoints.Find(replica)
-	return one != nil && n.distances.Several() && one.Region != n.options.Topology.Region
+	return one != nil && n.distances.MultiRegion() && one.Region != n.options.Topology.Region
 }
 
 // ExtraLatency returns how much longer a round trip to a zone takes than one within the node's region.
-func (n *Node) ExtraLatency(zone string) time.Duration { return n.distances.Away(zone) }
+func (n *Node) ExtraLatency(zone string) time.Duration { return n.distances.ExtraLatency(zone) }
--- a/internal/process/cluster/lapse.go
+++ b/internal/process/cluster/lapse.go
@@ -46,7 +46,7 @@
 	if n.lapses.retaining(now) && n.endpoints.Find(id) != nil {
 		if !n.lapses.kept[id] {
 			n.lapses.kept[id] = true
-			n.queue.Log(event.ReplicaLapsed, "replica", id)
+			n.queue.Log(event.ReplicaRecordExpired, "replica", id)
 		}
 		return
 	}
@@ -57,7 +57,7 @@
 // outage of the store, so its replica is removed at once.
 func (n *Node) onReplicaGone(now time.Time, gone port.RemovedReplica, unusable bool) {
 	switch {
-	case n.endpoints.Outlives(gone):
+	case n.endpoints.HasNewerRecord(gone):
 	case unusable:
 		delete(n.lapses.kept, gone.ID)
 		n.onReplicaChange(now, n.endpoints.Remove(gone.ID))
@@ -69,7 +69,7 @@
 // putReplica handles an added or updated replica.
 func (n *Node) putReplica(now time.Time, put endpoint.Change) {
 	delete(n.lapses.kept, put.Endpoint.ID)
-	put.Endpoint.Held = n.drainedByOperator(put.Endpoint)
+	put.Endpoint.OperatorDrained = n.drainedByOperator(put.Endpoint)
 	put.Endpoint.SetEvacuated(now, n.evacuated[put.Endpoint.Zone])
 	put.Endpoint.Region = n.options.Topology.RegionOf(put.Endpoint.Zone)
 	n.onReplicaChange(now, put)
--- a/internal/process/cluster/latency.go
+++ b/internal/process/cluster/latency.go
@@ -52,6 +52,6 @@
 // tickLatency logs significant changes of the store's latency.
 func (n *Node) tickLatency(now time.Time) {
 	if n.latency.shouldLog(now) {
-		n.queue.Log(event.StoreDistance, "latency_ms", n.latency.longest.Milliseconds(), "zone", n.options.Topology.Zone, "region", n.options.Topology.Region)
+		n.queue.Log(event.StoreLatencyChanged, "latency_ms", n.latency.longest.Milliseconds(), "zone", n.options.Topology.Zone, "region", n.options.Topology.Region)
 	}
 }
--- a/internal/process/cluster/operators.go
+++ b/internal/process/cluster/operators.go
@@ -27,9 +27,9 @@
 		return
 	}
 	n.operatorConfig = decoded
-	n.queue.Log(event.ConfigurationHeld, "revision", decoded.Revision, "experiments", len(decoded.Experiments), "drains", len(decoded.Drains))
+	n.queue.Log(event.OperatorConfigurationApplied, "revision", decoded.Revision, "experiments", len(decoded.Experiments), "drains", len(decoded.Drains))
 	for _, e := range n.endpoints.All() {
-		e.Held = n.drainedByOperator(e)
+		e.OperatorDrained = n.drainedByOperator(e)
 	}
 	n.quarantine.Lift(now, configuration.QuarantineLifts(decoded))
 	n.updateDrain(now)
--- a/internal/process/cluster/place.go
+++ b/internal/process/cluster/place.go
@@ -26,11 +26,11 @@
 	}
 	query := n.query(now, wanted.Route, wanted.Tenant)
 	query.Model, query.MinVersion = wanted.Model, wanted.MinVersion
-	query.Origin = wanted.Model
-	query.Look = wanted.DryRun
-	query.Prefer = wanted.Prefer
+	query.WalkStart = wanted.Model
+	query.DryRun = wanted.DryRun
+	query.PreferredID = wanted.Prefer
 	query.Tokens, query.MemoryTokens = wanted.Tokens, n.serviceOf(wanted.Route).MemoryTokens
-	query.Room, query.Paced = maxItemLoad, wanted.PreferKnownPace
+	query.MaxLoad, query.RequirePace = maxItemLoad, wanted.PreferKnownPace
 	query.Exclude = excluded(wanted)
 	query.BestPace = n.bestPace(now, wanted.Route, query.Homes)
 	if wanted.Long {
@@ -51,7 +51,7 @@
 	service := route.Backends[0].Service
 	n.setPermit(query, service)
 	chosen := endpoint.FastRollouts.Choose(query, n.endpoints.Pool(service))
-	if chosen != nil && !query.Look {
+	if chosen != nil && !query.DryRun {
 		n.recordSend(query.Now, chosen, true)
 	}
 	return chosen
@@ -100,7 +100,7 @@
 	}
 	query := n.query(now, route, tenant)
 	query.Exclude = exclude
-	query.Room = maxScoringLoad
+	query.MaxLoad = maxScoringLoad
 	return n.chooseAndRecord(&endpoint.ScoringCalls, query, route)
 }
 
@@ -108,10 +108,10 @@
 	n.rotation++
 	query := &endpoint.Query{
 		Now: now, Zone: n.options.Topology.Zone, Region: n.options.Topology.Region, Homes: n.Homes(route, tenant), Rotation: n.rotation,
-		Origin: n.options.Name,
+		WalkStart: n.options.Name,
 	}
-	if n.distances.Several() {
-		query.Away = n.distances.Away
+	if n.distances.MultiRegion() {
+		query.ExtraLatency = n.distances.ExtraLatency
 	}
 	return query
 }
@@ -119,8 +119,8 @@
 // chooseAndRecord chooses an endpoint and accounts for the request that is about to be sent to it.
 func (n *Node) chooseAndRecord(profile *endpoint.Profile, query *endpoint.Query, route *port.Route) *endpoint.Endpoint {
 	chosen := n.choose(profile, query, route)
-	if chosen != nil && !query.Look {
-		n.recordSend(query.Now, chosen, query.Room > 0)
+	if chosen != nil && !query.DryRun {
+		n.recordSend(query.Now, chosen, query.MaxLoad > 0)
 	}
 	return chosen
 }
@@ -133,13 +133,13 @@
 	if chosen := n.chooseInOrder(profile, query, order); chosen != nil {
 		return chosen
 	}
-	if query.Room > 0 && n.canWaitForRoom(profile, *query, order) {
+	if query.MaxLoad > 0 && n.canWaitForRoom(profile, *query, order) {
 		return nil
 	}
 	if chosen, later := n.chooseCold(profile, *query, order); chosen != nil || later {
 		return chosen
 	}
-	if query.Look {
+	if query.DryRun {
 		// A running item is not moved to an ejected endpoint.
 		return nil
 	}
@@ -160,7 +160,7 @@
 
 // canWaitForRoom reports whether there is an endpoint that lacks only room.
 func (n *Node) canWaitForRoom(profile *endpoint.Profile, query endpoint.Query, order []string) bool {
-	query.Room, query.Unguarded = math.Inf(1), true
+	query.MaxLoad, query.IncludeRateLimited = math.Inf(1), true
 	return n.chooseInOrder(profile, &query, order) != nil
 }
 
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -33,8 +33,8 @@
 				one.InFlight = 6
 			}
 			if c.ejected[i] {
-				one.Failed(start)
-				one.Failed(start)
+				one.RecordFailure(start)
+				one.RecordFailure(start)
 			}
 		}
 		n.rotation = 1
@@ -96,8 +96,8 @@
 	}
 	known := n.endpoints.Find("known")
 	known.InFlight = 3
-	known.LearnPace(start, 50*time.Millisecond)
-	n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
+	known.UpdatePace(start, 50*time.Millisecond)
+	n.endpoints.Find("slow").UpdatePace(start, 65*time.Millisecond)
 	for _, paced := range []bool{false, true} {
 		want := map[bool]string{false: "unknown", true: "known"}[paced]
 		chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, PreferKnownPace: paced})
@@ -131,8 +131,8 @@
 		}
 		fast := n.endpoints.Find("fast")
 		fast.InFlight, fast.Tokens = c.inFlight, c.tokens
-		fast.LearnPace(start, 50*time.Millisecond)
-		n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
+		fast.UpdatePace(start, 50*time.Millisecond)
+		n.endpoints.Find("slow").UpdatePace(start, 65*time.Millisecond)
 		chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Long: c.long, Tokens: 200})
 		if chosen == nil || chosen.ID != c.want {
 			t.Errorf("%s: %v, want %s", c.name, chosen, c.want)
@@ -164,10 +164,13 @@
 	}{
 		{"no restriction", func(*endpoint.Endpoint, *batch.Placement) {}, "fast"},
 		{"draining", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Draining = true }, "slow"},
-		{"drained", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Held = true }, "slow"},
+		{"drained", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.OperatorDrained = true }, "slow"},
 		{"zone evacuated", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetEvacuated(start, true) }, "slow"},
 		{"cold", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.ColdUntil = start.Add(time.Second) }, "slow"},
-		{"ejected", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Failed(start); fast.Failed(start) }, "slow"},
+		{"ejected", func(fast *endpoint.Endpoint, _ *batch.Placement) {
+			fast.RecordFailure(start)
+			fast.RecordFailure(start)
+		}, "slow"},
 		{"loading the model", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.SetLoading("m", start.Add(time.Second)) }, "slow"},
 		{"version too old", func(fast *endpoint.Endpoint, _ *batch.Placement) { fast.Versions["m"] = 0 }, "slow"},
 		{"the item is to avoid it", func(_ *endpoint.Endpoint, wanted *batch.Placement) { wanted.Avoid = "fast" }, "slow"},
@@ -181,8 +184,8 @@
 			n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 		}
 		fast := n.endpoints.Find("fast")
-		fast.LearnPace(start, 50*time.Millisecond)
-		n.endpoints.Find("slow").LearnPace(start, 65*time.Millisecond)
+		fast.UpdatePace(start, 50*time.Millisecond)
+		n.endpoints.Find("slow").UpdatePace(start, 65*time.Millisecond)
 		wanted := batch.Placement{Route: route, Model: "m", MinVersion: 1, Long: true, DryRun: true}
 		c.restrict(fast, &wanted)
 		if chosen := n.placeItem(start.Add(time.Millisecond), wanted); chosen == nil || chosen.ID != c.want {
@@ -201,9 +204,9 @@
 		n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
 	}
 	ejected := n.endpoints.Find("ejected")
-	ejected.LearnPace(start, 50*time.Millisecond)
-	ejected.Failed(start)
-	ejected.Failed(start)
+	ejected.UpdatePace(start, 50*time.Millisecond)
+	ejected.RecordFailure(start)
+	ejected.RecordFailure(start)
 	for look, want := range map[bool]string{true: "", false: "ejected"} {
 		got := ""
 		if chosen := n.placeItem(start.Add(time.Millisecond), batch.Placement{Route: route, Model: "m", Avoid: "slow", Long: true, DryRun: look}); chosen != nil {
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -53,9 +53,9 @@
 }
 
 // partialList returns the callbacks by which the watch reads only a part of the list.
-func (n *Node) partialList(table string) *recordwatch.Partial {
-	return &recordwatch.Partial{
-		Large: n.options.largeListSize(), Extent: n.replicaExtent, Known: n.endpoints.Len, Begin: n.listOrigin, Enough: n.hasEnoughReplicas,
+func (n *Node) partialList(table string) *recordwatch.PartialOptions {
+	return &recordwatch.PartialOptions{
+		MinRecords: n.options.largeListSize(), Extent: n.replicaExtent, Known: n.endpoints.Len, StartKey: n.listOrigin, Enough: n.hasEnoughReplicas,
 		OnPart: func(now time.Time) { n.onPartialList(now, table) },
 	}
 }
@@ -68,12 +68,12 @@
 	}
 	switch {
 	case now.Before(use.wholeUntil):
-		return recordwatch.Whole
+		return recordwatch.ExtentFull
 	case use.requests > 0 || now.Before(use.partUntil):
-		return recordwatch.Part
+		return recordwatch.ExtentPart
 	}
 	use.services, use.perService = nil, initialReplicas
-	return recordwatch.Nothing
+	return recordwatch.ExtentNone
 }
 
 // holdsReplicaLease reports whether this node holds a lease that manages replicas.
@@ -84,12 +84,12 @@
 // knowsAllReplicas reports whether every listed replica is known, which placing items and the duties of lease
 // holders require. It is also true before the first read, when no replica is known.
 func (n *Node) knowsAllReplicas() bool {
-	return !n.replicas.Read() || n.replicas.Follows(recordwatch.Whole)
+	return !n.replicas.HasRead() || n.replicas.Follows(recordwatch.ExtentFull)
 }
 
 // completeSince returns since when all replicas are known without interruption, zero if they are not.
 func (n *Node) completeSince() time.Time {
-	since := n.replicas.Since()
+	since := n.replicas.FollowedSince()
 	if since.IsZero() || n.lapses.healthySince.IsZero() {
 		return time.Time{}
 	}
@@ -100,7 +100,7 @@
 }
 
 // BeginRequest registers a caller's request of a route until EndRequest is called. It reports whether replicas
-// for it are being read; task.ReplicasKnown signals the end of the read.
+// for it are being read; task.NotifyReplicasRead signals the end of the read.
 func (n *Node) BeginRequest(now time.Time, route *port.Route) bool {
 	use := &n.replicaDemand
 	use.requests++
@@ -114,7 +114,7 @@
 // LoadingReplicas reports whether replicas for callers' requests are being read. While the store is
 // unavailable, requests use the replicas known before.
 func (n *Node) LoadingReplicas() bool {
-	return !n.lapses.storeDown && n.replicas.Awaited(recordwatch.Part)
+	return !n.lapses.storeDown && n.replicas.Pending(recordwatch.ExtentPart)
 }
 
 // LoadingMoreReplicas reports whether additional replicas are being read because none of the known ones was
@@ -125,7 +125,7 @@
 
 // onStoreHealth handles a failure or recovery of the store while the list of replicas is not followed.
 func (n *Node) onStoreHealth(now time.Time, healthy bool) {
-	if !n.replicas.Follows(recordwatch.Part) {
+	if !n.replicas.Follows(recordwatch.ExtentPart) {
 		n.onReplicaHealth(now, healthy)
 	}
 }
@@ -160,10 +160,10 @@
 	if pool == nil {
 		return ""
 	}
-	if before := n.endpoints.Find(use.origins[service]); before != nil && !before.Leaving() {
+	if before := n.endpoints.Find(use.origins[service]); before != nil && !before.Unschedulable() {
 		return before.ID
 	}
-	first := pool.First(n.options.Name)
+	first := pool.FirstSchedulable(n.options.Name)
 	if first == nil {
 		return ""
 	}
@@ -205,12 +205,12 @@
 	listed := n.putReplicas(now, change.Replicas, true)
 	if !n.lapses.retaining(now) {
 		for _, dropped := range n.endpoints.Retain(listed) {
-			n.queue.Add(task.Forget{Address: dropped.Address})
+			n.queue.Add(task.CloseIdleConnections{Address: dropped.Address})
 			n.forgetCold(now, dropped.ID)
 		}
 	}
 	n.logListed(len(change.Replicas))
-	n.queue.Add(task.ReplicasKnown{})
+	n.queue.Add(task.NotifyReplicasRead{})
 }
 
 // putReplicas adds or updates replicas and returns their IDs.
@@ -238,5 +238,5 @@
 	for _, backend := range route.Backends {
 		n.replicaDemand.perService = max(n.replicaDemand.perService, 2*len(n.endpoints.Service(backend.Service)))
 	}
-	n.replicas.ReadMore(now)
+	n.replicas.RereadPart(now)
 }
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -114,7 +114,7 @@
 	case task.Commit:
 		// Other nodes hold the leases.
 		t.Done(d.now, port.RecordResult{Status: port.RecordRefused})
-	case task.ReplicasKnown:
+	case task.NotifyReplicasRead:
 		d.known++
 	}
 }
@@ -221,7 +221,7 @@
 	origin := d.node.listOrigin()
 	for range 5 {
 		d.run(10 * time.Second)
-		if d.node.Ready(d.now); d.node.replicas.Follows(recordwatch.Part) {
+		if d.node.Ready(d.now); d.node.replicas.Follows(recordwatch.ExtentPart) {
 			t.Fatal("list still followed ten seconds after a request")
 		}
 		d.serve()
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -37,14 +37,14 @@
 	for _, table := range n.options.Decoder.DeploymentTables() {
 		options := recordwatch.Options{
 			Table: table, Partitions: []string{""}, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeLatency(),
-			Wait: configurationWatchTimeout, Reread: configurationResyncInterval,
+			Wait: configurationWatchTimeout, RereadInterval: configurationResyncInterval,
 			OnList:   func(now time.Time, records []port.Record) { n.onDeployment(now, table, records, true) },
 			OnChange: func(now time.Time, records []port.Record) { n.onDeployment(now, table, records, false) },
 			OnHealth: n.onStoreHealth,
 		}
 		if n.isReplicaTable(table) {
-			options.Wait, options.Reread = defaultWatchTimeout, replicaResyncInterval
-			options.Gather, options.MostGather = replicaBatchDelay, maxReplicaBatchDelay
+			options.Wait, options.RereadInterval = defaultWatchTimeout, replicaResyncInterval
+			options.MinDelay, options.MaxDelay = replicaBatchDelay, maxReplicaBatchDelay
 			options.OnHealth = n.onReplicaHealth
 			options.Relaxed = n.idle
 			options.Partial = n.partialList(table)
@@ -58,7 +58,7 @@
 	}
 	n.shared = recordwatch.New(recordwatch.Options{
 		Table: port.SharedTable, Partitions: partitions, Queue: n.queue, Jitter: n.random.Float64(), Distance: n.storeLatency(),
-		Wait: defaultWatchTimeout, Reread: sharedResyncInterval, Gather: sharedBatchDelay, MostGather: maxSharedBatchDelay,
+		Wait: defaultWatchTimeout, RereadInterval: sharedResyncInterval, MinDelay: sharedBatchDelay, MaxDelay: maxSharedBatchDelay,
 		OnList: n.onSharedList, OnChange: n.onShared, OnHealth: n.onSharedHealth,
 		Relaxed: n.toleratesDelay,
 	})
@@ -78,7 +78,7 @@
 // BeginJobWait registers a caller that waits for a job to change, until EndJobWait is called.
 func (n *Node) BeginJobWait(now time.Time) {
 	n.jobWaiters++
-	n.shared.Hasten(now)
+	n.shared.SkipDelay(now)
 }
 
 // EndJobWait unregisters a caller registered by BeginJobWait.
@@ -132,7 +132,7 @@
 		n.logListed(len(change.Replicas))
 	}
 	if whole && n.isReplicaTable(table) {
-		n.queue.Add(task.ReplicasKnown{})
+		n.queue.Add(task.NotifyReplicasRead{})
 	}
 	for _, gone := range change.Removed {
 		n.onReplicaGone(now, gone, unreadable(change.Unreadable, gone.ID))
@@ -161,19 +161,19 @@
 		return
 	}
 	one := change.Endpoint
-	if change.Former != nil {
-		n.onReplicaChange(now, endpoint.Change{Endpoint: change.Former, Removed: true})
+	if change.Previous != nil {
+		n.onReplicaChange(now, endpoint.Change{Endpoint: change.Previous, Removed: true})
 	}
 	switch {
 	case change.Added && n.suppressAddLogs:
 	case change.Added:
 		n.queue.Log(event.ReplicaAdded, "replica", one.ID, "service", one.Service, "address", one.Address, "zone", one.Zone,
-			"versions", fmt.Sprint(one.Versions), "leaving", one.Draining, "restarted", change.Former != nil)
+			"versions", fmt.Sprint(one.Versions), "leaving", one.Draining, "restarted", change.Previous != nil)
 	case change.Removed:
 		n.queue.Log(event.ReplicaRemoved, "replica", one.ID, "service", one.Service, "in_flight", one.InFlight)
-		n.queue.Add(task.Forget{Address: one.Address})
+		n.queue.Add(task.CloseIdleConnections{Address: one.Address})
 		n.forgetCold(now, one.ID)
-	case change.Leaving:
+	case change.DrainStarted:
 		n.queue.Log(event.ReplicaLeaving, "replica", one.ID, "service", one.Service, "in_flight", one.InFlight)
 	}
 }
--- a/internal/process/cluster/workingset.go
+++ b/internal/process/cluster/workingset.go
@@ -21,7 +21,7 @@
 
 // modelNeeds holds the replicas that each model needs, as of computedAt.
 type modelNeeds struct {
-	byModel    map[string]endpoint.Need
+	byModel    map[string]endpoint.Demand
 	computedAt time.Time
 }
 
@@ -48,11 +48,11 @@
 		return
 	}
 	items := n.jobs.PeakItems(now)
-	n.needs = modelNeeds{byModel: make(map[string]endpoint.Need, len(models)), computedAt: now}
+	n.needs = modelNeeds{byModel: make(map[string]endpoint.Demand, len(models)), computedAt: now}
 	for _, model := range models {
-		n.needs.byModel[model] = endpoint.Need{Endpoints: minReplicas}
+		n.needs.byModel[model] = endpoint.Demand{Endpoints: minReplicas}
 	}
 	for model, count := range items {
-		n.needs.byModel[model] = endpoint.Need{Slots: int(math.Ceil(slotHeadroom * float64(count))), Endpoints: minReplicas}
+		n.needs.byModel[model] = endpoint.Demand{Slots: int(math.Ceil(slotHeadroom * float64(count))), Endpoints: minReplicas}
 	}
 }
--- a/internal/process/endpoint/withheld.go
+++ b/internal/process/endpoint/withheld.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Withheld says why an endpoint gets no new work. All paths on which something is sent to a
-// replica go by it, through the filter NotDraining.
-type Withheld string
+// UnschedulableReason is the reason why an endpoint gets no new work. All sends to replicas check it
+// through the IsSchedulable filter.
+type UnschedulableReason string
 
-// Reasons for which an endpoint gets no new work, the lasting one first.
+// The reasons in order of precedence.
 const (
-	// NotWithheld endpoints get work.
-	NotWithheld Withheld = ""
-	// WithheldLeaving endpoints drain by their own word.
-	WithheldLeaving Withheld = "leaving"
-	// WithheldDrained endpoints are drained by operators, or their zone is.
-	WithheldDrained Withheld = "drained"
-	// WithheldEvacuated endpoints lie in an evacuated zone.
-	WithheldEvacuated Withheld = "evacuated"
+	// Schedulable endpoints accept new work.
+	Schedulable UnschedulableReason = ""
+	// UnschedulableLeaving endpoints are draining according to their own record.
+	UnschedulableLeaving UnschedulableReason = "leaving"
+	// UnschedulableDrained endpoints are drained by an operator, individually or by zone.
+	UnschedulableDrained UnschedulableReason = "drained"
+	// UnschedulableEvacuated endpoints are in an evacuated zone.
+	UnschedulableEvacuated UnschedulableReason = "evacuated"
 )
 
-// Withheld returns why the endpoint gets no new work.
-func (e *Endpoint) Withheld() Withheld {
+// UnschedulableReason returns the reason why the endpoint gets no new work.
+func (e *Endpoint) UnschedulableReason() UnschedulableReason {
 	switch {
 	case e.Draining:
-		return WithheldLeaving
-	case e.Held:
-		return WithheldDrained
+		return UnschedulableLeaving
+	case e.OperatorDrained:
+		return UnschedulableDrained
 	case e.Evacuated:
-		return WithheldEvacuated
+		return UnschedulableEvacuated
 	}
-	return NotWithheld
+	return Schedulable
 }
 
-// SetEvacuated notes whether the endpoint's zone is evacuated, as this node sees it now.
+// SetEvacuated updates whether the endpoint's zone is evacuated.
 func (e *Endpoint) SetEvacuated(now time.Time, evacuated bool) {
 	if evacuated == e.Evacuated {
 		return
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -192,7 +192,7 @@
 		w.check.arrivedCold(w, r)
 		switch {
 		case r.dark > 0 || lost:
-			w.After(t.FirstWithin, func() { one.end(task.RunSilent) })
+			w.After(t.FirstEventTimeout, func() { one.end(task.RunTimedOut) })
 		default:
 			w.check.arrived(w, one)
 			one.begin()
@@ -235,9 +235,9 @@
 		if one.ended {
 			return
 		}
-		silence := one.task.NextWithin
+		silence := one.task.NextEventTimeout
 		if len(one.events) == 0 {
-			silence = one.task.FirstWithin
+			silence = one.task.FirstEventTimeout
 		}
 		switch {
 		case w.Now.Sub(lastAt) >= silence:
@@ -305,7 +305,7 @@
 
 // order carries an order to a replica. It may be under way for long, within its limit, and
 // it may be carried out late and unanswered.
-func (w *World) order(n *node, t task.Order, done func(status port.VersionOrderStatus)) {
+func (w *World) order(n *node, t task.OrderVersion, done func(status port.VersionOrderStatus)) {
 	longer, lost := w.wayTo(n, t.Order.Address)
 	underWay := callLatency + longer
 	if w.operator.slowOrders > 0 {
@@ -363,7 +363,7 @@
 }
 
 // ask brings a replica's report, some time old.
-func (w *World) ask(n *node, t task.Report, done func(report port.ReplicaReport)) {
+func (w *World) ask(n *node, t task.FetchReport, done func(report port.ReplicaReport)) {
 	r := w.at(t.Address)
 	longer, lost := w.wayTo(n, t.Address)
 	if r == nil || r.dark > 0 || lost || r.ID != t.Replica {
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -337,20 +337,20 @@
 		}
 	case task.ScoringCall:
 		w.startScoring(n, life, t)
-	case task.Order:
+	case task.OrderVersion:
 		w.order(n, t, func(status port.VersionOrderStatus) { back(func(now time.Time) { t.Done(now, status) }) })
-	case task.Report:
+	case task.FetchReport:
 		w.ask(n, t, func(report port.ReplicaReport) { back(func(now time.Time) { t.Done(now, report) }) })
 	case task.ReportUsage:
 		w.duties.report(n, t, func(status port.DutyStatus) { back(func(now time.Time) { t.Done(now, status) }) })
-	case task.Later:
+	case task.Timer:
 		w.After(t.After, func() { back(t.Do) })
 	case task.Log:
 		w.owners.logged(n, t.Event, t.Fields)
 		if w.options.Log != nil {
 			w.options.Log(n.name, w.Now.Sub(epoch), t.Event, t.Fields)
 		}
-	case task.Wake, task.Forget, task.ReplicasKnown:
+	case task.NotifyJob, task.CloseIdleConnections, task.NotifyReplicasRead:
 	}
 }
 
--- a/internal/version/batch/accept.go
+++ b/internal/version/batch/accept.go
@@ -243,5 +243,5 @@
 
 func (j *Jobs) retryAfter(delay time.Duration, retry func(now time.Time)) {
 	jitter := time.Duration(j.options.Random.Int64N(int64(delay)/2 + 1))
-	j.options.Queue.Add(task.Later{After: delay + jitter, Do: retry})
+	j.options.Queue.Add(task.Timer{After: delay + jitter, Do: retry})
 }
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -166,7 +166,7 @@
 	n.elapse(200 * time.Millisecond)
 	var waits []time.Duration
 	for _, run := range n.takeRuns() {
-		waits = append(waits, run.FirstWithin)
+		waits = append(waits, run.FirstEventTimeout)
 	}
 	if want := []time.Duration{firstEventTimeout, firstEventTimeout, maxEventTimeout, maxEventTimeout}; !slices.Equal(waits, want) {
 		t.Errorf("first event limits %v, want %v", waits, want)
@@ -250,11 +250,11 @@
 	for _, c := range []struct {
 		outcome task.RunOutcome
 		ejected bool
-	}{{task.RunUnreachable, true}, {task.RunSilent, false}, {task.RunInterrupted, false}} {
+	}{{task.RunUnreachable, true}, {task.RunTimedOut, false}, {task.RunInterrupted, false}} {
 		n := newTestNode("a", newStore())
 		n.accept(newJob("j", 2))
 		n.elapse(100 * time.Millisecond)
-		n.replica.LearnLoad(n.now, 3, 0)
+		n.replica.UpdateLoad(n.now, 3, 0)
 		for _, run := range n.takeRuns() {
 			run.Done(n.now, task.RunResult{Outcome: c.outcome})
 		}
--- a/internal/version/batch/listing.go
+++ b/internal/version/batch/listing.go
@@ -118,7 +118,7 @@
 func (j *Jobs) applyPaces(now time.Time, state *doorstepv1.BatchJobHead) {
 	for _, published := range state.Paces {
 		if known := j.options.FindEndpoint(published.Replica); known != nil {
-			known.HearPace(now, time.Duration(published.Microseconds)*time.Microsecond)
+			known.UpdateRemotePace(now, time.Duration(published.Microseconds)*time.Microsecond)
 		}
 	}
 }
--- a/internal/version/batch/move_test.go
+++ b/internal/version/batch/move_test.go
@@ -47,7 +47,7 @@
 
 func TestMoveIsLogged(t *testing.T) {
 	n, runs := newProgressNode(t, 4, time.Second)
-	n.replica.LearnPace(n.now, 50*time.Millisecond)
+	n.replica.UpdatePace(n.now, 50*time.Millisecond)
 	if stop := runs[0].Progress(n.now, nil, 200*time.Millisecond); !stop {
 		t.Fatal("a run on a degraded replica is not moved")
 	}
--- a/internal/version/batch/preference.go
+++ b/internal/version/batch/preference.go
@@ -81,7 +81,7 @@
 		}
 	}
 	if closest != chosen {
-		j.options.Queue.Log(event.JobGivenNearer, "instead_of", chosen.name, "owner", closest.name, "store_latency_ms", placeLatency(place).Milliseconds())
+		j.options.Queue.Log(event.JobAssignedNearer, "instead_of", chosen.name, "owner", closest.name, "store_latency_ms", placeLatency(place).Milliseconds())
 	}
 	return closest
 }
--- a/internal/version/batch/preference_test.go
+++ b/internal/version/batch/preference_test.go
@@ -173,7 +173,7 @@
 	n.accept(newJob("j", 1))
 	began := n.now
 	var writtenAt []time.Time
-	var answers []task.Later
+	var answers []task.Timer
 	for n.now.Sub(began) < 10*time.Second {
 		n.jobs.Tick(n.now)
 		for _, queued := range n.queue.Take() {
@@ -181,10 +181,10 @@
 			if !ok {
 				continue
 			}
-			answers = append(answers, task.Later{After: n.now.Add(oneWay).Sub(began), Do: func(now time.Time) {
+			answers = append(answers, task.Timer{After: n.now.Add(oneWay).Sub(began), Do: func(now time.Time) {
 				result := n.store.Commit(now, commit.Transaction)
 				writtenAt = append(writtenAt, now)
-				answers = append(answers, task.Later{After: now.Add(oneWay).Sub(began), Do: func(now time.Time) { commit.Done(now, result) }})
+				answers = append(answers, task.Timer{After: now.Add(oneWay).Sub(began), Do: func(now time.Time) { commit.Done(now, result) }})
 			}})
 		}
 		due := answers
--- a/internal/version/batch/regions.go
+++ b/internal/version/batch/regions.go
@@ -123,7 +123,7 @@
 	}
 	served := h.hasReplica(o.route(), o.job.Tenant)
 	if !served && !o.noReplica {
-		o.jobs.options.Queue.Log(event.JobUnserved, "job", o.id, "homes", homes.Regions)
+		o.jobs.options.Queue.Log(event.JobWithoutReplica, "job", o.id, "homes", homes.Regions)
 	}
 	o.noReplica = !served
 }
--- a/internal/version/batch/run.go
+++ b/internal/version/batch/run.go
@@ -79,7 +79,7 @@
 	o.jobs.options.Queue.Add(task.Run{
 		ID: run, Item: content.Id, Replica: chosen.ID, Address: chosen.Address, Target: content.Path, Host: o.job.Host,
 		Header: it.header.Clone(), Body: content.Body, Tenant: o.job.Tenant, Limit: runTimeout, Waited: now.Sub(it.waitingSince), After: lastEvent(it.events), Urgent: it.long,
-		FirstWithin: firstEventLimit(now, chosen, it.interruptions), NextWithin: o.nextEventLimit(it, route),
+		FirstEventTimeout: firstEventLimit(now, chosen, it.interruptions), NextEventTimeout: o.nextEventLimit(it, route),
 		Progress: func(now time.Time, events []port.ReplicaEvent, pace time.Duration) bool {
 			return o.onProgress(now, index, run, events, pace)
 		},
@@ -145,7 +145,7 @@
 		return false
 	}
 	if chosen := o.currentEndpoint(it); chosen != nil && it.runID == run {
-		chosen.LearnPace(now, pace)
+		chosen.UpdatePace(now, pace)
 	}
 	route := o.route()
 	if it.state != itemRunning || it.runID != run || route == nil || route.SingleVersion || it.moves >= maxMoves {
@@ -184,19 +184,19 @@
 	id := chosen.ID
 	switch result.Outcome {
 	case task.RunCompleted:
-		chosen.Succeeded(result.FirstEvent)
+		chosen.RecordSuccess(result.FirstEvent)
 	case task.RunRefused:
-		chosen.Refused(now, model)
-	case task.RunSilent:
-		j.logEjection(id, took, chosen.Silent(now))
+		chosen.RecordRefusal(now, model)
+	case task.RunTimedOut:
+		j.logEjection(id, took, chosen.RecordTimeout(now))
 	case task.RunUnreachable:
 		// A replica that resets connections fails immediately and so appears idle. Unless it is
 		// ejected it attracts all waiting items.
-		j.logEjection(id, took, chosen.Failed(now))
+		j.logEjection(id, took, chosen.RecordFailure(now))
 	case task.RunInterrupted, task.RunFailed, task.RunImpossible, task.RunSlow:
 	}
 	if result.Pace > 0 {
-		chosen.LearnPace(now, result.Pace)
+		chosen.UpdatePace(now, result.Pace)
 	}
 }
 
@@ -228,7 +228,7 @@
 	switch result.Outcome {
 	case task.RunCompleted:
 		o.onRunCompleted(now, index, result)
-	case task.RunInterrupted, task.RunSilent:
+	case task.RunInterrupted, task.RunTimedOut:
 		it.avoidEndpoint = it.endpoint
 		it.interruptions++
 		it.notBefore = now.Add(refusedBackoff / 2)
@@ -271,6 +271,6 @@
 		return
 	}
 	for _, generated := range result.Events {
-		chosen.LearnVersion(o.job.Model, generated.Version)
+		chosen.UpdateVersion(o.job.Model, generated.Version)
 	}
 }
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -79,7 +79,7 @@
 			}
 			chosen := o.jobs.options.PlaceScoring(now, route, o.job.Tenant, it.scoringRound.exclude)
 			if chosen == nil {
-				it.scoringRound.relay.NoEndpoint()
+				it.scoringRound.relay.RecordNoEndpoint()
 				continue
 			}
 			o.sendScoring(now, index, chosen)
@@ -142,7 +142,7 @@
 	it, call := &o.items[index], o.job.Items[index].Scoring
 	round := it.scoringRound
 	round.exclude[chosen.ID] = true
-	round.relay.Launched(now)
+	round.relay.RecordLaunch(now)
 	it.scoringCalls++
 	o.jobs.lastRunID++
 	id := o.jobs.lastRunID
@@ -152,7 +152,7 @@
 	o.openRuns++
 	o.jobs.options.Queue.Add(task.ScoringCall{
 		ID: id, Request: call.Id, Replica: chosen.ID, Address: chosen.Address, Target: call.Path, Host: call.Host, Body: o.scoringBody(index),
-		Tenant: o.job.Tenant, Limit: round.relay.Left(now), SendBy: chosen.SendBy,
+		Tenant: o.job.Tenant, Limit: round.relay.Remaining(now), SendBy: chosen.SendBy,
 		Done: func(later time.Time, result task.ScoringResult) {
 			chosen.InFlight--
 			o.openRuns--
@@ -190,9 +190,9 @@
 		return
 	}
 	delete(round.open, id)
-	round.relay.Ended(result.Outcome)
+	round.relay.RecordOutcome(result.Outcome)
 	o.recordCrash(now, it.scoringRequest, chosen, result.Crashed)
-	if chosen.Attempted(now, result.Outcome, took) {
+	if chosen.RecordAttempt(now, result.Outcome, took) {
 		o.jobs.options.Queue.Log(event.ReplicaEjected, "replica", chosen.ID, "after_ms", took.Milliseconds())
 	}
 	if result.Score != "" && result.Status < http.StatusMultipleChoices {
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -39,7 +39,7 @@
 	commitHook func(commit task.Commit) (port.RecordResult, bool)
 	// rangeHook may replace the result of a read; nil allows all reads.
 	rangeHook func(query port.RecordRange) (port.RecordResult, bool)
-	delayed   []task.Later
+	delayed   []task.Timer
 	// replicas replaces replica unless nil.
 	replicas *replicaSet
 }
@@ -108,7 +108,7 @@
 				n.calls = append(n.calls, t)
 			case task.StopRun:
 				n.stopped[t.ID] = true
-			case task.Later:
+			case task.Timer:
 				n.delayed = append(n.delayed, t)
 			}
 		}
--- a/internal/version/rollout/evacuation_test.go
+++ b/internal/version/rollout/evacuation_test.go
@@ -78,7 +78,7 @@
 	for _, e := range list[:16] {
 		e.Evacuated = true
 	}
-	serving, evacuated := filterWithheld(list, endpoint.NotWithheld), filterWithheld(list, endpoint.WithheldEvacuated)
+	serving, evacuated := filterWithheld(list, endpoint.Schedulable), filterWithheld(list, endpoint.UnschedulableEvacuated)
 	g.assign(serving, targets, nil)
 	g.assignEvacuated(evacuated, targets, nil)
 	counts := map[string]int{}
--- a/internal/version/rollout/exchange.go
+++ b/internal/version/rollout/exchange.go
@@ -100,7 +100,7 @@
 // texts than a model with fast ones.
 func (x *groupExchange) nextPair(best time.Duration) (slow, fast *endpoint.Endpoint) {
 	isFast := func(e *endpoint.Endpoint) bool {
-		return x.basePaces[e] > 0 && float64(x.basePaces[e]) <= endpoint.AlikePaces*float64(best)
+		return x.basePaces[e] > 0 && float64(x.basePaces[e]) <= endpoint.SimilarPaceRatio*float64(best)
 	}
 	isSlow := func(e *endpoint.Endpoint) bool { return x.basePaces[e] > 0 && !isFast(e) }
 	for _, a := range x.modelsByLength(isSlow) {
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -12,11 +12,11 @@
 // requestReport requests a replica's status report.
 func (r *Rollout) requestReport(e *endpoint.Endpoint, state *replicaState) {
 	state.requestPending = true
-	r.options.Queue.Add(task.Report{Replica: e.ID, Address: e.Address, Done: func(now time.Time, report port.ReplicaReport) {
+	r.options.Queue.Add(task.FetchReport{Replica: e.ID, Address: e.Address, Done: func(now time.Time, report port.ReplicaReport) {
 		state.requestPending = false
 		if report.OK && fromOtherIncarnation(report, e) {
 			// The record of the other incarnation has not arrived yet.
-			r.options.Queue.Log(event.ReportOfAnotherLife, "replica", e.ID, "listed_start_ms", e.StartedAt.UnixMilli(), "told_start_ms", report.StartedAt.UnixMilli())
+			r.options.Queue.Log(event.ReportOfOtherIncarnation, "replica", e.ID, "listed_start_ms", e.StartedAt.UnixMilli(), "told_start_ms", report.StartedAt.UnixMilli())
 			report.OK = false
 		}
 		if !report.OK {
@@ -26,7 +26,7 @@
 		state.report = report
 		state.reportAt = now
 		for model, version := range report.Versions {
-			e.LearnVersion(model, version)
+			e.UpdateVersion(model, version)
 		}
 		state.notBefore = now
 		if state.orderPending {
@@ -92,7 +92,7 @@
 func (r *Rollout) sendProbe(now time.Time, load pendingLoad, state *replicaState) {
 	state.requestPending = true
 	fence := r.options.Lease.Fence()
-	r.options.Queue.Add(task.Order{
+	r.options.Queue.Add(task.OrderVersion{
 		Limit: r.options.Lease.Remaining(now),
 		Order: r.newOrder(load, fence, port.ProbeSequence),
 		Done: func(now time.Time, status port.VersionOrderStatus) {
@@ -130,7 +130,7 @@
 	load.endpoint.SetLoading(load.model, now.Add(initialReportDelay))
 	fence, sequence := r.options.Lease.Fence(), state.sequence
 	state.unanswered.add(now, load.model, load.version, sequence)
-	r.options.Queue.Add(task.Order{
+	r.options.Queue.Add(task.OrderVersion{
 		Limit: r.options.Lease.Remaining(now),
 		Order: r.newOrder(load, fence, sequence),
 		Done: func(now time.Time, status port.VersionOrderStatus) {
@@ -149,7 +149,7 @@
 	case port.VersionOrderAccepted:
 		state.acknowledged = true
 	case port.VersionOrderAlreadyLoaded:
-		load.endpoint.LearnVersion(load.model, load.version)
+		load.endpoint.UpdateVersion(load.model, load.version)
 	case port.VersionOrderUnknown:
 		state.notBefore = now.Add(reportInterval)
 	case port.VersionOrderConflict, port.VersionOrderFenced, port.VersionOrderRefused:
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -107,7 +107,7 @@
 func (r *Rollout) tickService(now time.Time, service string, members []*endpoint.Endpoint, demand map[string]int64) {
 	limit := r.loadLimitOf(service)
 	loading := r.trackOrders(now, members, limit)
-	serving, evacuated := filterWithheld(members, endpoint.NotWithheld), filterWithheld(members, endpoint.WithheldEvacuated)
+	serving, evacuated := filterWithheld(members, endpoint.Schedulable), filterWithheld(members, endpoint.UnschedulableEvacuated)
 	assignable := serving
 	if len(serving) == 0 {
 		// If all replicas are evacuated, their number decides whether there are enough for groups.
@@ -141,8 +141,8 @@
 const evacuatedLoadFraction = 0.5
 
 // filterWithheld returns the replicas that are withheld for the given reason.
-func filterWithheld(members []*endpoint.Endpoint, reason endpoint.Withheld) []*endpoint.Endpoint {
-	return slices.DeleteFunc(slices.Clone(members), func(e *endpoint.Endpoint) bool { return e.Withheld() != reason })
+func filterWithheld(members []*endpoint.Endpoint, reason endpoint.UnschedulableReason) []*endpoint.Endpoint {
+	return slices.DeleteFunc(slices.Clone(members), func(e *endpoint.Endpoint) bool { return e.UnschedulableReason() != reason })
 }
 
 // orderLoads orders pending loads until atOnce loads are in progress. It returns the number of
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -37,7 +37,7 @@
 	// fenced makes replicas reject orders as if they had seen a newer fence. sent holds the orders,
 	// leaseLeft the remaining validity of the lease when each was sent.
 	fenced    bool
-	sent      []task.Order
+	sent      []task.OrderVersion
 	leaseLeft []time.Duration
 }
 
@@ -102,14 +102,14 @@
 		t.Done(b.now, b.records.Commit(b.now, t.Transaction))
 	case task.Range:
 		t.Done(b.now, b.records.Range(b.now, t.Query))
-	case task.Report:
+	case task.FetchReport:
 		if b.reportLag > 0 {
 			report := b.generators[t.Replica].Report(b.now.Add(-b.reportLag))
 			b.delayedReports = append(b.delayedReports, func() { t.Done(b.now, report) })
 			return
 		}
 		t.Done(b.now, b.generators[t.Replica].Report(b.now))
-	case task.Order:
+	case task.OrderVersion:
 		if !t.Order.IsProbe() {
 			b.orders++
 		}
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -229,7 +229,7 @@
 				current.requests, current.accepted = stored.Requests, stored.Accepted
 			}
 			current.persisted = true
-			r.options.Queue.Log(event.UsageGathered, "window", current.window, "tenants", len(current.requests), "requests", total(current.requests),
+			r.options.Queue.Log(event.UsageAggregated, "window", current.window, "tenants", len(current.requests), "requests", total(current.requests),
 				"rows", len(current.rows), "stood", result.Status == port.RecordConflict)
 		}),
 	})
