--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,4 @@
-// Package command holds what the command lines share: exit codes and how a
-// command ends.
+// Package command provides the exit codes and error handling shared by all command-line programs.
 package command
 
 import (
@@ -15,21 +14,20 @@
 const (
 	// ExitDone means success.
 	ExitDone = 0
-	// ExitFailed means that something went wrong outside the program.
+	// ExitFailed means that an operation failed for an external reason.
 	ExitFailed = 1
-	// ExitUsage means bad arguments, settings or statements.
+	// ExitUsage means invalid arguments, settings or statements.
 	ExitUsage = 2
-	// ExitRefused means that a command was refused and changed nothing.
+	// ExitRefused means that a command was rejected without any effect.
 	ExitRefused = 3
-	// ExitUndecided means that the outcome is not known yet.
+	// ExitUndecided means that the outcome of a command is unknown.
 	ExitUndecided = 5
 )
 
-// Error ends a program with an exit code.
+// Error is an error with the exit code that the program terminates with.
 type Error struct {
-	// Code is the exit code.
 	Code int
-	// Cause says what happened; it is printed when it is not empty.
+	// Cause is printed to standard error unless it is nil or its message is empty.
 	Cause error
 }
 
@@ -43,24 +41,24 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Fail returns an Error with a code and a cause.
+// Fail returns an Error with the given exit code and cause.
 func Fail(code int, cause error) error { return &Error{Code: code, Cause: cause} }
 
-// Run runs a command line and returns its exit code. Errors that are no Error come
-// from the arguments.
+// Run runs a command line and returns its exit code. Errors of other types than Error come from
+// argument parsing and result in ExitUsage.
 func Run(ctx context.Context, root *cli.Command, arguments []string, stderr io.Writer) int {
 	root.ExitErrHandler = func(context.Context, *cli.Command, error) {}
 	err := root.Run(ctx, arguments)
 	if err == nil {
 		return ExitDone
 	}
-	var ended *Error
-	if !errors.As(err, &ended) {
+	var exit *Error
+	if !errors.As(err, &exit) {
 		_, _ = fmt.Fprintf(stderr, "%s: %s\n", root.Name, err)
 		return ExitUsage
 	}
-	if text := ended.Error(); text != "" {
+	if text := exit.Error(); text != "" {
 		_, _ = fmt.Fprintf(stderr, "%s: %s\n", root.Name, text)
 	}
-	return ended.Code
+	return exit.Code
 }
--- a/internal/command/compare/ablate.go
+++ b/internal/command/compare/ablate.go
@@ -10,27 +10,27 @@
 	"github.com/doorstep/doorstep/internal/command"
 )
 
-// ablateCommand switches mechanisms off one by one and tells what each is worth.
+// ablateCommand measures the effect of each mechanism by disabling them one at a time.
 func ablateCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "ablate",
-		Usage: "switch mechanisms off one by one and tell what each is worth",
-		Description: "Each patch of a folder switches one mechanism off. Its tree and the one without a patch are laid\n" +
-			"out in a scratch folder, which also keeps the outcomes: a run that was stopped goes on where it was.\n" +
-			"The bench's journal entries stay in the trees' folders.",
-		Flags: append(playFlags(),
-			&cli.StringFlag{Name: "repo", Usage: "the repository whose newest commit is played, as `DIR`", Value: "."},
-			&cli.StringFlag{Name: "patches", Usage: "the folder of patches, as `DIR`", Value: "bench/ablation"},
-			&cli.StringSliceFlag{Name: "only", Usage: "a mechanism's `NAME`; one for each, all by default"},
-			&cli.StringFlag{Name: "scratch", Usage: "where trees and outcomes lie, as `DIR` outside the repository", Required: true},
-			&cli.StringFlag{Name: "plot", Usage: "draw what the mechanisms are worth into a `FILE`, PNG or SVG"},
+		Usage: "measure the effect of each mechanism by disabling them one at a time",
+		Description: "Each patch in a directory disables one mechanism. The patched source trees and the unpatched one are\n" +
+			"cloned into a scratch directory, which also stores the results, so that an interrupted run can be resumed.\n" +
+			"The benchmark's journal entries stay in the directories of the trees.",
+		Flags: append(runFlags(),
+			&cli.StringFlag{Name: "repo", Usage: "the repository whose HEAD commit is measured, as `DIR`", Value: "."},
+			&cli.StringFlag{Name: "patches", Usage: "the directory with the patches, as `DIR`", Value: "bench/ablation"},
+			&cli.StringSliceFlag{Name: "only", Usage: "`NAME` of a mechanism to measure; repeatable, default all"},
+			&cli.StringFlag{Name: "scratch", Usage: "the directory for source trees and results, as `DIR` outside the repository", Required: true},
+			&cli.StringFlag{Name: "plot", Usage: "plot the effect of each mechanism to `FILE`, PNG or SVG"},
 		),
 		Action: runAblate,
 	}
 }
 
 func runAblate(ctx context.Context, c *cli.Command) error {
-	days, err := daysOf(c)
+	scenarios, err := scenariosFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -39,87 +39,86 @@
 		return command.Fail(command.ExitUsage, err)
 	}
 	ablation := Ablation{
-		Bench: benchOf(c), Days: days, Repo: c.String("repo"), Scratch: c.String("scratch"), Mechanisms: mechanisms, Jobs: c.Int("jobs"),
+		Bench: benchFromFlags(c), Scenarios: scenarios, Repo: c.String("repo"), Scratch: c.String("scratch"), Mechanisms: mechanisms, Jobs: c.Int("jobs"),
 	}
-	worths, err := ablation.Play(ctx)
+	results, err := ablation.Run(ctx)
 	if err != nil {
 		return command.Fail(command.ExitFailed, err)
 	}
-	if err := WriteAblation(c.Root().Writer, worths); err != nil {
+	if err := WriteAblation(c.Root().Writer, results); err != nil {
 		return command.Fail(command.ExitFailed, err)
 	}
 	if file := c.String("plot"); file != "" {
-		if err := PlotAblation(file, worths); err != nil {
+		if err := PlotAblation(file, results); err != nil {
 			return command.Fail(command.ExitFailed, err)
 		}
 	}
 	return nil
 }
 
-// Ablation plays the newest commit of a repository with each mechanism switched off, and as
-// it is.
+// Ablation runs the HEAD commit of a repository unchanged and with each mechanism disabled.
 type Ablation struct {
-	Bench Bench
-	Days  Days
-	// Repo is the repository, Scratch the folder of the trees and outcomes.
+	Bench     Bench
+	Scenarios Scenarios
+	// Repo is the repository, Scratch the directory for source trees and outcomes.
 	Repo, Scratch string
 	Mechanisms    []Mechanism
-	// Jobs is how many days are played at once.
+	// Jobs is the number of concurrent benchmark runs.
 	Jobs int
 }
 
-// Worth is what a mechanism is worth: the pairs of a day without it, as before, and with it,
-// as after.
-type Worth struct {
+// MechanismResult holds the outcomes for one mechanism: Before of each pair is the run without the
+// mechanism, After the one with it.
+type MechanismResult struct {
 	Mechanism string
 	Pairs     []Pair
 }
 
-// Play plays what was not played before, and returns each mechanism's worth.
-func (a *Ablation) Play(ctx context.Context) ([]Worth, error) {
+// Run runs all scenarios that have no stored outcome yet and returns the results of each mechanism.
+func (a *Ablation) Run(ctx context.Context) ([]MechanismResult, error) {
 	if err := os.MkdirAll(a.Scratch, 0o755); err != nil {
-		return nil, oops.Wrapf(err, "the scratch folder")
+		return nil, oops.Wrapf(err, "creating the scratch directory")
 	}
-	whole, err := layTree(ctx, a.Repo, a.Scratch, Mechanism{})
+	baseline, err := cloneTree(ctx, a.Repo, a.Scratch, Mechanism{})
 	if err != nil {
 		return nil, err
 	}
-	trees := []tree{whole}
-	for _, one := range a.Mechanisms {
-		laid, err := layTree(ctx, a.Repo, a.Scratch, one)
+	trees := []tree{baseline}
+	for _, mechanism := range a.Mechanisms {
+		patched, err := cloneTree(ctx, a.Repo, a.Scratch, mechanism)
 		if err != nil {
 			return nil, err
 		}
-		trees = append(trees, laid)
+		trees = append(trees, patched)
 	}
-	outcomes, err := openOutcomes(a.Scratch)
+	outcomes, err := openOutcomeStore(a.Scratch)
 	if err != nil {
 		return nil, err
 	}
 	defer outcomes.close()
-	if err := a.playAll(ctx, trees, outcomes); err != nil {
+	if err := a.runAll(ctx, trees, outcomes); err != nil {
 		return nil, err
 	}
-	var worths []Worth
-	for _, without := range trees[1:] {
-		worths = append(worths, Worth{Mechanism: without.mechanism, Pairs: outcomes.pairs(a.Days.List(), without, whole)})
+	var results []MechanismResult
+	for _, patched := range trees[1:] {
+		results = append(results, MechanismResult{Mechanism: patched.mechanism, Pairs: outcomes.pairs(a.Scenarios.List(), patched, baseline)})
 	}
-	return worths, nil
+	return results, nil
 }
 
-// playAll plays each day by all trees before the next day, so that what else the machine
-// does meets them alike.
-func (a *Ablation) playAll(ctx context.Context, trees []tree, outcomes *outcomes) error {
-	days := a.Days.List()
-	return each(ctx, a.Jobs, len(days)*len(trees), func(ctx context.Context, i int) error {
-		day, played := days[i/len(trees)], trees[i%len(trees)]
-		if _, known := outcomes.find(played, day); known {
+// runAll runs each scenario on all trees before the next one, so that other load on the machine
+// affects all trees alike.
+func (a *Ablation) runAll(ctx context.Context, trees []tree, outcomes *outcomeStore) error {
+	scenarios := a.Scenarios.List()
+	return forEachConcurrent(ctx, a.Jobs, len(scenarios)*len(trees), func(ctx context.Context, i int) error {
+		scenario, target := scenarios[i/len(trees)], trees[i%len(trees)]
+		if _, found := outcomes.find(target, scenario); found {
 			return nil
 		}
-		outcome, err := a.Bench.Play(ctx, played.folder, day)
+		outcome, err := a.Bench.Run(ctx, target.dir, scenario)
 		if err != nil {
 			return err
 		}
-		return outcomes.add(played, day, outcome)
+		return outcomes.add(target, scenario, outcome)
 	})
 }
--- a/internal/command/compare/ablate_test.go
+++ b/internal/command/compare/ablate_test.go
@@ -11,12 +11,11 @@
 	"testing"
 )
 
-// reportWorth is a stand-in of the bench: it tells the worth that the tree's file holds, and
-// counts its plays.
-const reportWorth = "#!/bin/sh\nwhile [ $# -gt 0 ]; do [ \"$1\" = --report ] && file=$2; shift; done\n" +
+// benchScript replaces the benchmark: it reports the value in the tree's file "worth" and logs each run.
+const benchScript = "#!/bin/sh\nwhile [ $# -gt 0 ]; do [ \"$1\" = --report ] && file=$2; shift; done\n" +
 	"echo '{\"G\":'$(cat worth)'}' >\"$file\"\necho played >>plays\necho '3 steps asked, the last 2.5 s behind its time'\n"
 
-// newRepo returns a repository with one commit, whose worth is 0.9.
+// newRepo returns a repository with one commit that scores 0.9.
 func newRepo(t *testing.T) string {
 	t.Helper()
 	repo := t.TempDir()
@@ -39,31 +38,31 @@
 func writePatch(t *testing.T, folder, name, worth string) {
 	t.Helper()
 	content := "--- a/worth\n+++ b/worth\n@@ -1 +1 @@\n-0.9\n+" + worth + "\n"
-	if err := os.WriteFile(filepath.Join(folder, name+patchEnding), []byte(content), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, name+patchExt), []byte(content), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func countPlays(t *testing.T, scratch string) int {
+func countRuns(t *testing.T, scratch string) int {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(scratch, "*", "plays"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	plays := 0
+	runs := 0
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		plays += strings.Count(string(content), "played")
+		runs += strings.Count(string(content), "played")
 	}
-	return plays
+	return runs
 }
 
 func TestAblate(t *testing.T) {
 	bench := filepath.Join(t.TempDir(), "bench")
-	if err := os.WriteFile(bench, []byte(reportWorth), 0o755); err != nil {
+	if err := os.WriteFile(bench, []byte(benchScript), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	patches, scratch := t.TempDir(), filepath.Join(t.TempDir(), "scratch")
@@ -74,15 +73,15 @@
 		t.Fatal(err)
 	}
 	ablation := Ablation{
-		Bench: Bench{Program: bench, Why: "a test"}, Days: Days{Sites: []string{"s.toml"}, Days: []string{"quiet"}, Seeds: 2, FirstSeed: 1},
+		Bench: Bench{Program: bench, Why: "a test"}, Scenarios: Scenarios{Sites: []string{"s.toml"}, Days: []string{"quiet"}, Seeds: 2, FirstSeed: 1},
 		Repo: newRepo(t), Scratch: scratch, Mechanisms: mechanisms, Jobs: 2,
 	}
-	worths, err := ablation.Play(t.Context())
+	results, err := ablation.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var output bytes.Buffer
-	if err := WriteAblation(&output, worths); err != nil {
+	if err := WriteAblation(&output, results); err != nil {
 		t.Fatal(err)
 	}
 	rows := strings.Split(strings.TrimSpace(output.String()), "\n")
@@ -90,58 +89,58 @@
 		t.Errorf("%s", output.String())
 	}
 	file := filepath.Join(t.TempDir(), "plot.svg")
-	if err := PlotAblation(file, worths); err != nil {
+	if err := PlotAblation(file, results); err != nil {
 		t.Fatal(err)
 	}
 
-	// A second run plays only what is new.
-	ablation.Days.Seeds = 3
-	if _, err := ablation.Play(t.Context()); err != nil {
+	// A second run skips scenarios with a stored outcome.
+	ablation.Scenarios.Seeds = 3
+	if _, err := ablation.Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if plays := countPlays(t, scratch); plays != 9 {
-		t.Errorf("%d plays of three trees on three seeds", plays)
+	if runs := countRuns(t, scratch); runs != 9 {
+		t.Errorf("%d runs for three trees and three seeds, want 9", runs)
 	}
 }
 
-func TestOutcomesOutliveABrokenLine(t *testing.T) {
+func TestOpenOutcomeStoreSkipsTruncatedLine(t *testing.T) {
 	scratch := t.TempDir()
-	day := Day{Site: "s", Day: "quiet", Seed: 1}
+	scenario := Scenario{Site: "s", Day: "quiet", Seed: 1}
 	if err := os.WriteFile(filepath.Join(scratch, outcomesFile), []byte(`{"Tree":"a","Site":"s","Da`), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		kept, err := openOutcomes(scratch)
+		store, err := openOutcomeStore(scratch)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := kept.add(tree{id: "b"}, day, Outcome{Worth: 0.5}); err != nil {
+		if err := store.add(tree{id: "b"}, scenario, Outcome{Worth: 0.5}); err != nil {
 			t.Fatal(err)
 		}
-		kept.close()
+		store.close()
 	}
-	kept, err := openOutcomes(scratch)
+	store, err := openOutcomeStore(scratch)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.close()
-	if outcome, ok := kept.find(tree{id: "b"}, day); !ok || outcome.Worth != 0.5 || len(kept.known) != 1 {
-		t.Errorf("%v", kept.known)
+	defer store.close()
+	if outcome, ok := store.find(tree{id: "b"}, scenario); !ok || outcome.Worth != 0.5 || len(store.byKey) != 1 {
+		t.Errorf("%v", store.byKey)
 	}
 }
 
-func TestUnknownMechanismIsTold(t *testing.T) {
+func TestFindMechanismsRejectsUnknownName(t *testing.T) {
 	patches := t.TempDir()
 	writePatch(t, patches, "hedging", "0.4")
 	if _, err := findMechanisms(patches, []string{"hedging", "none"}); err == nil {
-		t.Error("a mechanism without a patch is told of")
+		t.Error("no error for a mechanism without a patch")
 	}
 }
 
-// A run that is stopped leaves whole pairs: days are played in their order.
-func TestEachKeepsTheOrder(t *testing.T) {
+// Tests that calls start in index order, so that an interrupted run leaves complete pairs.
+func TestForEachConcurrentStartsInOrder(t *testing.T) {
 	var started []int
-	err := each(t.Context(), 1, 20, func(_ context.Context, i int) error {
+	err := forEachConcurrent(t.Context(), 1, 20, func(_ context.Context, i int) error {
 		started = append(started, i)
 		return nil
 	})
--- a/internal/command/compare/outcomes.go
+++ b/internal/command/compare/outcomes.go
@@ -10,78 +10,78 @@
 	"github.com/samber/oops"
 )
 
-// outcomesFile holds the outcomes in a scratch folder, a line of JSON for each play.
+// outcomesFile is the file in the scratch directory that stores one outcome per line as JSON.
 const outcomesFile = "outcomes.jsonl"
 
-// played is one line of the file.
-type played struct {
+// outcomeRecord is one line of the outcomes file.
+type outcomeRecord struct {
 	Tree string
-	Day
+	Scenario
 	Outcome Outcome
 }
 
-// key names a play: a tree's id and the day.
-type key struct {
-	tree string
-	day  Day
+// outcomeKey identifies a benchmark run.
+type outcomeKey struct {
+	tree     string
+	scenario Scenario
 }
 
-// outcomes keeps what was played across runs of the command.
-type outcomes struct {
+// outcomeStore persists outcomes so that later invocations of the command can reuse them.
+type outcomeStore struct {
 	mu    sync.Mutex
-	known map[key]Outcome
+	byKey map[outcomeKey]Outcome
 	file  *os.File
 }
 
-// openOutcomes reads the outcomes of a scratch folder. A last line that breaks off, of a run
-// that was stopped, is passed over.
-func openOutcomes(scratch string) (*outcomes, error) {
+// openOutcomeStore reads the outcomes in a scratch directory. It skips lines that are not valid JSON,
+// such as a line truncated by an interrupted run.
+func openOutcomeStore(scratch string) (*outcomeStore, error) {
 	file, err := os.OpenFile(filepath.Join(scratch, outcomesFile), os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
 	if err != nil {
-		return nil, oops.Wrapf(err, "the outcomes")
+		return nil, oops.Wrapf(err, "opening the outcomes file")
 	}
-	o := &outcomes{known: map[key]Outcome{}, file: file}
+	o := &outcomeStore{byKey: map[outcomeKey]Outcome{}, file: file}
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		one := played{}
-		if json.Unmarshal(lines.Bytes(), &one) == nil {
-			o.known[key{one.Tree, one.Day}] = one.Outcome
+		record := outcomeRecord{}
+		if json.Unmarshal(lines.Bytes(), &record) == nil {
+			o.byKey[outcomeKey{record.Tree, record.Scenario}] = record.Outcome
 		}
 	}
-	return o, oops.Wrapf(lines.Err(), "reading the outcomes")
+	return o, oops.Wrapf(lines.Err(), "reading the outcomes file")
 }
 
-func (o *outcomes) close() { _ = o.file.Close() }
+func (o *outcomeStore) close() { _ = o.file.Close() }
 
-func (o *outcomes) find(t tree, day Day) (Outcome, bool) {
+func (o *outcomeStore) find(t tree, scenario Scenario) (Outcome, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	outcome, ok := o.known[key{t.id, day}]
+	outcome, ok := o.byKey[outcomeKey{t.id, scenario}]
 	return outcome, ok
 }
 
-// add keeps an outcome. Each line is preceded by a line break of its own, so that one that
-// breaks off spoils no other.
-func (o *outcomes) add(t tree, day Day, outcome Outcome) error {
+// add stores an outcome. It writes a line break before each line as well, so that a truncated line
+// does not corrupt the next one.
+func (o *outcomeStore) add(t tree, scenario Scenario, outcome Outcome) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.known[key{t.id, day}] = outcome
-	line, err := json.Marshal(played{Tree: t.id, Day: day, Outcome: outcome})
+	o.byKey[outcomeKey{t.id, scenario}] = outcome
+	line, err := json.Marshal(outcomeRecord{Tree: t.id, Scenario: scenario, Outcome: outcome})
 	if err != nil {
-		return oops.Wrapf(err, "an outcome must encode")
+		return oops.Wrapf(err, "encoding an outcome")
 	}
 	_, err = o.file.Write(append(append([]byte{'\n'}, line...), '\n'))
-	return oops.Wrapf(err, "keeping an outcome")
+	return oops.Wrapf(err, "writing an outcome")
 }
 
-// pairs pairs the days that both trees have played.
-func (o *outcomes) pairs(days []Day, before, after tree) []Pair {
+// pairs returns the scenarios for which both trees have an outcome.
+func (o *outcomeStore) pairs(scenarios []Scenario, before, after tree) []Pair {
 	var pairs []Pair
-	for _, day := range days {
-		without, ok := o.find(before, day)
-		with, both := o.find(after, day)
+	for _, scenario := range scenarios {
+		without, ok := o.find(before, scenario)
+		with, both := o.find(after, scenario)
 		if ok && both {
-			pairs = append(pairs, Pair{Day: day, Before: without, After: with})
+			pairs = append(pairs, Pair{Scenario: scenario, Before: without, After: with})
 		}
 	}
 	return pairs
--- a/internal/command/compare/play.go
+++ b/internal/command/compare/play.go
@@ -15,100 +15,100 @@
 	"github.com/samber/oops"
 )
 
-// Bench is the users' bench and how it is called.
+// Bench describes how to run the users' benchmark.
 type Bench struct {
-	// Program is its path; Why stands in its journal.
+	// Program is the path of the executable, Why the purpose recorded in its journal.
 	Program, Why string
-	// NoCPU charges no processor time.
+	// NoCPU disables the charge for processor time.
 	NoCPU bool
 }
 
-// Days are the days that each tree plays.
-type Days struct {
-	// Sites are site files, Days names of days in each of them.
+// Scenarios is the cross product of sites, days and seeds.
+type Scenarios struct {
+	// Sites are paths of site files, Days the names of days in each of them.
 	Sites, Days []string
 	FirstSeed   uint64
 	Seeds       int
 }
 
-// Day is one day of a site with its seed.
-type Day struct {
+// Scenario is one day of a site with a seed.
+type Scenario struct {
 	Site, Day string
 	Seed      uint64
 }
 
-// List returns the days by site, name and seed.
-func (d Days) List() []Day {
-	var list []Day
-	for _, site := range d.Sites {
-		for _, day := range d.Days {
-			for i := range d.Seeds {
-				list = append(list, Day{Site: site, Day: day, Seed: d.FirstSeed + uint64(i)})
+// List returns all scenarios ordered by site, day and seed.
+func (s Scenarios) List() []Scenario {
+	var list []Scenario
+	for _, site := range s.Sites {
+		for _, day := range s.Days {
+			for i := range s.Seeds {
+				list = append(list, Scenario{Site: site, Day: day, Seed: s.FirstSeed + uint64(i)})
 			}
 		}
 	}
 	return list
 }
 
-// Series compares two trees.
-type Series struct {
-	Bench Bench
-	Days  Days
-	// Before and After are the trees' folders.
+// Comparison runs the benchmark on two source trees.
+type Comparison struct {
+	Bench     Bench
+	Scenarios Scenarios
+	// Before and After are the directories of the trees.
 	Before, After string
-	// Jobs is how many days are played at once.
+	// Jobs is the number of scenarios that run concurrently.
 	Jobs int
 }
 
-// Outcome is what one day came to.
+// Outcome is the result of one benchmark run. Its field names are stored in the outcomes file.
 type Outcome struct {
-	// Worth is the bench's, Whole, Windows and Class are its parts.
+	// Worth is the benchmark's score. Whole, Windows and Class are its components.
 	Worth                 float64
 	Whole, Windows, Class float64
-	// Prices is what was taken off.
+	// Prices is the sum of all deductions from the score.
 	Prices float64
-	// Lag is how many seconds behind its time the last step was asked, at the worst trainer.
+	// Lag is how many seconds behind schedule the slowest trainer requested its last step.
 	Lag float64
-	// Broken counts the rules that were broken.
+	// Broken is the number of violated rules.
 	Broken int
 }
 
-// Pair is one day and seed played by both trees.
+// Pair holds the outcomes of both trees for one scenario.
 type Pair struct {
-	Day
+	Scenario
 	Before, After Outcome
 }
 
-// Play plays all pairs. The two plays of a pair follow one another, so that what else the
-// machine does meets both alike.
-func (s *Series) Play(ctx context.Context) ([]Pair, error) {
-	days := s.Days.List()
-	pairs := make([]Pair, len(days))
-	err := each(ctx, s.Jobs, len(days), func(ctx context.Context, i int) (err error) {
-		pairs[i].Day = days[i]
-		if pairs[i].Before, err = s.Bench.Play(ctx, s.Before, days[i]); err != nil {
+// Run runs all scenarios. The two runs of a pair follow each other directly, so that other load on the
+// machine affects both alike.
+func (c *Comparison) Run(ctx context.Context) ([]Pair, error) {
+	scenarios := c.Scenarios.List()
+	pairs := make([]Pair, len(scenarios))
+	err := forEachConcurrent(ctx, c.Jobs, len(scenarios), func(ctx context.Context, i int) (err error) {
+		pairs[i].Scenario = scenarios[i]
+		if pairs[i].Before, err = c.Bench.Run(ctx, c.Before, scenarios[i]); err != nil {
 			return err
 		}
-		pairs[i].After, err = s.Bench.Play(ctx, s.After, days[i])
+		pairs[i].After, err = c.Bench.Run(ctx, c.After, scenarios[i])
 		return err
 	})
 	return pairs, err
 }
 
-// each calls do for the numbers below n in their order, so many at once; the first error
-// stops the rest.
-func each(ctx context.Context, atOnce, n int, do func(ctx context.Context, i int) error) error {
+// forEachConcurrent calls do for 0 to n-1 in this order, with at most limit concurrent calls. It
+// starts no further calls after the first error.
+func forEachConcurrent(ctx context.Context, limit, n int, do func(ctx context.Context, i int) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	places := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, limit)
 	var group sync.WaitGroup
 	for i := range n {
-		places <- struct{}{}
+		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			if err := do(ctx, i); err != nil {
 				cancel(err)
 			}
@@ -118,38 +118,38 @@
 	return context.Cause(ctx)
 }
 
-// Play plays one day by the tree in a folder.
-func (b Bench) Play(ctx context.Context, tree string, day Day) (Outcome, error) {
-	failed := oops.With("tree", tree).With("site", day.Site).With("day", day.Day).With("seed", day.Seed)
-	folder, err := os.MkdirTemp("", "compare")
+// Run runs the benchmark for one scenario on the tree in a directory.
+func (b Bench) Run(ctx context.Context, tree string, scenario Scenario) (Outcome, error) {
+	failed := oops.With("tree", tree).With("site", scenario.Site).With("day", scenario.Day).With("seed", scenario.Seed)
+	dir, err := os.MkdirTemp("", "compare")
 	if err != nil {
-		return Outcome{}, failed.Wrapf(err, "a folder for the report")
+		return Outcome{}, failed.Wrapf(err, "creating the report directory")
 	}
-	defer os.RemoveAll(folder)
-	report := filepath.Join(folder, "report.json")
-	site, err := filepath.Abs(day.Site)
+	defer os.RemoveAll(dir)
+	report := filepath.Join(dir, "report.json")
+	site, err := filepath.Abs(scenario.Site)
 	if err != nil {
-		return Outcome{}, failed.Wrapf(err, "the site's path")
+		return Outcome{}, failed.Wrapf(err, "resolving the site's path")
 	}
-	arguments := []string{"run", site, day.Day, "--seed", strconv.FormatUint(day.Seed, 10), "--report", report, "--why", b.Why}
+	arguments := []string{"run", site, scenario.Day, "--seed", strconv.FormatUint(scenario.Seed, 10), "--report", report, "--why", b.Why}
 	if b.NoCPU {
 		arguments = append(arguments, "--no-cpu")
 	}
-	play := exec.CommandContext(ctx, b.Program, arguments...)
-	play.Dir = tree
-	text, err := play.CombinedOutput()
+	run := exec.CommandContext(ctx, b.Program, arguments...)
+	run.Dir = tree
+	text, err := run.CombinedOutput()
 	if err != nil {
-		return Outcome{}, failed.Wrapf(err, "the bench: %s", text)
+		return Outcome{}, failed.Wrapf(err, "running the benchmark: %s", text)
 	}
 	content, err := os.ReadFile(report)
 	if err != nil {
-		return Outcome{}, failed.Wrapf(err, "the bench wrote no report: %s", text)
+		return Outcome{}, failed.Wrapf(err, "reading the benchmark's report: %s", text)
 	}
-	outcome, err := decode(content, text)
-	return outcome, failed.Wrapf(err, "the bench's report")
+	outcome, err := decodeReport(content, text)
+	return outcome, failed.Wrapf(err, "decoding the benchmark's report")
 }
 
-// benchReport is what is read of the bench's report.
+// benchReport is the part of the benchmark's report that is evaluated.
 type benchReport struct {
 	Worth  float64                    `json:"G"`
 	Parts  [][]any                    `json:"parts"`
@@ -157,17 +157,17 @@
 	Breaks map[string]json.RawMessage `json:"breaks"`
 }
 
-// lagLine is where the bench tells how far behind a trainer's last step was.
-var lagLine = regexp.MustCompile(`steps asked, the last ([0-9.]+) s behind`)
+// lagPattern matches the benchmark's output line with the delay of a trainer's last step.
+var lagPattern = regexp.MustCompile(`steps asked, the last ([0-9.]+) s behind`)
 
-func decode(report, text []byte) (Outcome, error) {
+func decodeReport(report, text []byte) (Outcome, error) {
 	var read benchReport
 	if err := json.NewDecoder(bytes.NewReader(report)).Decode(&read); err != nil {
 		return Outcome{}, err
 	}
 	outcome := Outcome{Worth: read.Worth, Broken: len(read.Breaks)}
 	for _, part := range read.Parts {
-		name, share := last(part)
+		name, share := nameAndLastNumber(part)
 		switch name {
 		case "whole day":
 			outcome.Whole = share
@@ -178,21 +178,21 @@
 		}
 	}
 	for _, price := range read.Prices {
-		_, taken := last(price)
-		outcome.Prices += taken
+		_, deduction := nameAndLastNumber(price)
+		outcome.Prices += deduction
 	}
-	for _, found := range lagLine.FindAllSubmatch(text, -1) {
-		lag, err := strconv.ParseFloat(string(found[1]), 64)
+	for _, match := range lagPattern.FindAllSubmatch(text, -1) {
+		lag, err := strconv.ParseFloat(string(match[1]), 64)
 		if err != nil {
-			return outcome, fmt.Errorf("a lag of %q", found[1])
+			return outcome, fmt.Errorf("invalid lag %q", match[1])
 		}
 		outcome.Lag = max(outcome.Lag, lag)
 	}
 	return outcome, nil
 }
 
-// last returns the name of a row and the number at its end.
-func last(row []any) (name string, number float64) {
+// nameAndLastNumber returns the first and the last column of a row.
+func nameAndLastNumber(row []any) (name string, number float64) {
 	if len(row) < 2 {
 		return "", 0
 	}
--- a/internal/command/compare/plot.go
+++ b/internal/command/compare/plot.go
@@ -6,20 +6,20 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot, and the least width for each of its columns.
+// Dimensions of a plot.
 const (
 	plotHeight  = 12 * vg.Centimeter
 	plotMargin  = 4 * vg.Centimeter
 	columnWidth = 2 * vg.Centimeter
 )
 
-// Plot draws the paired differences of worth, a box for each site and day.
+// Plot draws a box plot of the paired score differences for each site and day.
 func Plot(file string, pairs []Pair) error {
 	drawing := plot.New()
-	drawing.Title.Text = "Worth, after less before"
+	drawing.Title.Text = "Worth, difference between after and before"
 	drawing.Add(plotter.NewGrid())
 	var names []string
-	for i, row := range groups(pairs) {
+	for i, row := range groupPairs(pairs) {
 		values := make(plotter.Values, len(row.pairs))
 		for k, pair := range row.pairs {
 			values[k] = pair.After.Worth - pair.Before.Worth
@@ -32,8 +32,7 @@
 		names = append(names, row.site+"\n"+row.day)
 	}
 	drawing.NominalX(names...)
-	return drawing.Save(plotMargin+widthOf(len(names)), plotHeight, file)
+	return drawing.Save(plotMargin+columnsWidth(len(names)), plotHeight, file)
 }
 
-// widthOf returns the width of so many columns.
-func widthOf(columns int) vg.Length { return columnWidth * vg.Length(columns) }
+func columnsWidth(columns int) vg.Length { return columnWidth * vg.Length(columns) }
--- a/internal/command/daemoncli/daemoncli.go
+++ b/internal/command/daemoncli/daemoncli.go
@@ -1,4 +1,4 @@
-// Package daemoncli is the command line of doorstepd.
+// Package daemoncli implements the command line of doorstepd.
 package daemoncli
 
 import (
@@ -20,37 +20,36 @@
 	"github.com/doorstep/doorstep/internal/process/settings"
 )
 
-// overridable maps flags to the settings' fields that they replace.
-var overridable = []struct{ flag, field, usage string }{
+// overrideFlags maps flags to the settings fields that they override.
+var overrideFlags = []struct{ flag, field, usage string }{
 	{"name", "name", "the node's name"},
 	{"zone", "zone", "the node's zone"},
 	{"listen-requests", "listen.requests", "host:port for clients and trainers"},
-	{"listen-readiness", "listen.readiness", "host:port for the question whether the node is ready"},
-	{"listen-metrics", "listen.metrics", "host:port for the node's figures"},
+	{"listen-readiness", "listen.readiness", "host:port for readiness checks"},
+	{"listen-metrics", "listen.metrics", "host:port for metrics"},
 	{"store", "store.address", "host:port of the record store"},
 	{"log-level", "log.level", "debug, info, warn or error"},
 }
 
 const (
-	// garbagePercent is how much the heap may grow between two collections: a node's heap
-	// is a few megabytes and its machine small.
-	garbagePercent = 40
-	// heapPart is the part of the memory limit, one in so many, at which the garbage
-	// collector works harder.
-	heapPart = 2
-	megabyte = 1 << 20
+	// gcPercent is below Go's default because nodes run on small machines and their heap is only a few
+	// megabytes.
+	gcPercent = 40
+	// heapLimitDivisor sets the Go runtime's soft memory limit as a fraction of the configured memory limit.
+	heapLimitDivisor = 2
+	megabyte         = 1 << 20
 )
 
-// Platform is what a deployment's platform provides to a node.
+// Platform is the platform integration of a node.
 type Platform struct {
-	// SettingsFile returns the settings file that the platform prepared, if any.
+	// SettingsFile returns the path of the settings file provided by the platform, empty if there is none.
 	SettingsFile func() string
-	// Protocol is the form of its calls.
+	// Protocol encodes and decodes the platform's messages.
 	Protocol agent.Protocol
 	// NewStore returns a client of the record store at host:port.
 	NewStore func(address string) port.RecordStore
-	// NewDuties returns a client of the service at host:port for calls that one node at a time
-	// may make.
+	// NewDuties returns a client of the service at host:port for calls that only one node at a time may
+	// make.
 	NewDuties func(address string) port.DutyService
 }
 
@@ -61,8 +60,8 @@
 
 func flags() []cli.Flag {
 	list := []cli.Flag{&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "the settings `FILE`", Local: true}}
-	for _, one := range overridable {
-		list = append(list, &cli.StringFlag{Name: one.flag, Local: true, Usage: one.usage + " (replaces " + one.field + ")"})
+	for _, override := range overrideFlags {
+		list = append(list, &cli.StringFlag{Name: override.flag, Local: true, Usage: override.usage + " (overrides " + override.field + ")"})
 	}
 	return list
 }
@@ -72,23 +71,23 @@
 	return &cli.Command{
 		Name:        "doorstepd",
 		Usage:       "one node of the doorstep rollout service",
-		Description: "Runs until SIGTERM or SIGINT, then stops in the planned way: nothing is cut.\nA second signal ends it at once.",
+		Description: "Runs until SIGTERM or SIGINT, then shuts down gracefully without interrupting requests.\nA second signal terminates it immediately.",
 		Flags:       flags(),
 		Action:      nodes.serve,
 		Commands: []*cli.Command{{
 			Name:   "check-settings",
-			Usage:  "check a settings file and exit",
+			Usage:  "validate a settings file and exit",
 			Flags:  flags(),
 			Action: nodes.check,
 		}},
 	}
 }
 
-// nodeCommand holds what the subcommands share.
+// nodeCommand implements the subcommands.
 type nodeCommand struct{ platform Platform }
 
-// path returns the path of the settings file.
-func (n *nodeCommand) path(c *cli.Command) (string, error) {
+// settingsPath returns the path of the settings file, from the flag or from the platform.
+func (n *nodeCommand) settingsPath(c *cli.Command) (string, error) {
 	path := c.String("settings")
 	if path == "" && n.platform.SettingsFile != nil {
 		path = n.platform.SettingsFile()
@@ -99,16 +98,16 @@
 	return path, nil
 }
 
-func faulty(path string, err error) error {
+func settingsError(path string, err error) error {
 	return command.Fail(command.ExitUsage, fmt.Errorf("settings %s:\n%w", path, err))
 }
 
-// loader returns how the settings are read: the file, with flags laid over it.
-func loader(c *cli.Command, path string) func() (*settings.Settings, error) {
+// settingsLoader returns a function that reads the settings file and applies the flags as overrides.
+func settingsLoader(c *cli.Command, path string) func() (*settings.Settings, error) {
 	overrides := map[string]any{}
-	for _, one := range overridable {
-		if c.IsSet(one.flag) {
-			overrides[one.field] = c.String(one.flag)
+	for _, override := range overrideFlags {
+		if c.IsSet(override.flag) {
+			overrides[override.field] = c.String(override.flag)
 		}
 	}
 	return func() (*settings.Settings, error) {
@@ -121,51 +120,51 @@
 }
 
 func (n *nodeCommand) check(_ context.Context, c *cli.Command) error {
-	path, err := n.path(c)
+	path, err := n.settingsPath(c)
 	if err != nil {
 		return err
 	}
-	loaded, err := loader(c, path)()
+	loaded, err := settingsLoader(c, path)()
 	if err != nil {
-		return faulty(path, err)
+		return settingsError(path, err)
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "settings of %s are in order\n", loaded)
+	_, err = fmt.Fprintf(c.Root().Writer, "settings of %s are valid\n", loaded)
 	return err
 }
 
 func (n *nodeCommand) serve(ctx context.Context, c *cli.Command) error {
-	// A signal to read the settings again must not end a process that is starting.
-	reload := hangups()
-	stopping, hurrying, release := stopSignals(ctx)
+	// SIGHUP is handled first because its default action would terminate a process that is still starting.
+	reload := notifyReload()
+	stopping, forced, release := stopSignals(ctx)
 	defer release()
-	path, err := n.path(c)
+	path, err := n.settingsPath(c)
 	if err != nil {
 		return err
 	}
-	load := loader(c, path)
+	load := settingsLoader(c, path)
 	loaded, err := load()
 	if err != nil {
-		return faulty(path, err)
+		return settingsError(path, err)
 	}
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	if loaded.Memory.LimitMb > 0 {
-		debug.SetMemoryLimit(int64(loaded.Memory.LimitMb) * megabyte / heapPart)
+		debug.SetMemoryLimit(int64(loaded.Memory.LimitMb) * megabyte / heapLimitDivisor)
 	}
 	var duties port.DutyService
 	if loaded.Duties.Address != "" {
 		duties = n.platform.NewDuties(loaded.Duties.Address)
 	}
-	err = agent.Run(stopping, hurrying, agent.Options{
+	err = agent.Run(stopping, forced, agent.Options{
 		Settings: loaded, Protocol: n.platform.Protocol, Store: n.platform.NewStore(loaded.Store.Address), Duties: duties,
 		Log: newLogger(loaded.Name, loaded.Log, os.Stdout), Incarnation: rand.Uint64(), Reload: reload, ReadSettings: load,
 	})
 	if err != nil {
 		return command.Fail(command.ExitFailed, err)
 	}
-	return endedInHurry(hurrying)
+	return forcedStopError(forced)
 }
 
-// newLogger returns the log of a node.
+// newLogger returns the logger of a node.
 func newLogger(name string, wanted settings.Log, output *os.File) hclog.Logger {
 	level := hclog.LevelFromString(wanted.Level)
 	if level == hclog.NoLevel {
@@ -174,8 +173,8 @@
 	return hclog.New(&hclog.LoggerOptions{Name: "doorstepd." + name, Level: level, JSONFormat: wanted.JSON, Output: output})
 }
 
-// hangups returns a channel that is told when the settings are to be read again.
-func hangups() <-chan struct{} {
+// notifyReload returns a channel that receives a value after each SIGHUP.
+func notifyReload() <-chan struct{} {
 	reload := make(chan struct{}, 1)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -190,29 +189,29 @@
 	return reload
 }
 
-// endedInHurry is the failure of a node that a second signal ended.
-func endedInHurry(hurrying context.Context) error {
-	if errors.Is(hurrying.Err(), context.Canceled) {
-		return command.Fail(command.ExitFailed, errors.New("ended at once on a second signal"))
+// forcedStopError returns an error if a second signal terminated the node.
+func forcedStopError(forced context.Context) error {
+	if errors.Is(forced.Err(), context.Canceled) {
+		return command.Fail(command.ExitFailed, errors.New("terminated immediately by a second signal"))
 	}
 	return nil
 }
 
-// stopSignals returns a context that ends with the first signal to stop, and one that
-// ends with the second.
-func stopSignals(ctx context.Context) (stopping, hurrying context.Context, release func()) {
+// stopSignals returns a context that is canceled by the first SIGTERM or SIGINT and one that is canceled by
+// the second.
+func stopSignals(ctx context.Context) (stopping, forced context.Context, release func()) {
 	stopping, stop := context.WithCancel(ctx)
-	hurrying, hurry := context.WithCancel(ctx)
+	forced, force := context.WithCancel(ctx)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		<-signals
 		stop()
 		<-signals
-		hurry()
+		force()
 	}()
-	return stopping, hurrying, func() {
+	return stopping, forced, func() {
 		stop()
-		hurry()
+		force()
 	}
 }
--- a/internal/command/daemoncli/daemoncli_test.go
+++ b/internal/command/daemoncli/daemoncli_test.go
@@ -23,19 +23,19 @@
 		arguments []string
 		code      int
 	}{
-		{"good", []string{"check-settings", "--settings", good}, command.ExitDone},
-		{"a flag that is not allowed", []string{"check-settings", "--settings", good, "--listen-requests", "nowhere"}, command.ExitUsage},
-		{"broken", []string{"check-settings", "--settings", broken}, command.ExitUsage},
-		{"no such file", []string{"check-settings", "--settings", broken + "x"}, command.ExitUsage},
-		{"no settings", []string{"check-settings"}, command.ExitUsage},
-		{"no settings to serve", nil, command.ExitUsage},
-		{"broken settings to serve", []string{"--settings", broken}, command.ExitUsage},
-		{"no such flag", []string{"--colour"}, command.ExitUsage},
+		{"valid", []string{"check-settings", "--settings", good}, command.ExitDone},
+		{"invalid flag value", []string{"check-settings", "--settings", good, "--listen-requests", "nowhere"}, command.ExitUsage},
+		{"invalid", []string{"check-settings", "--settings", broken}, command.ExitUsage},
+		{"missing file", []string{"check-settings", "--settings", broken + "x"}, command.ExitUsage},
+		{"no settings file", []string{"check-settings"}, command.ExitUsage},
+		{"serve without settings file", nil, command.ExitUsage},
+		{"serve with invalid settings", []string{"--settings", broken}, command.ExitUsage},
+		{"unknown flag", []string{"--colour"}, command.ExitUsage},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if code := Main(append([]string{"doorstepd"}, c.arguments...), Platform{}); code != c.code {
-				t.Errorf("exit code %d, should be %d", code, c.code)
+				t.Errorf("exit code %d, want %d", code, c.code)
 			}
 		})
 	}
--- a/internal/command/operator/client.go
+++ b/internal/command/operator/client.go
@@ -17,32 +17,32 @@
 	"github.com/doorstep/doorstep/internal/version/configuration"
 )
 
-// Platform is what a deployment's platform provides to operators.
+// Platform is the platform integration of the operators' commands.
 type Platform struct {
-	// Decoder reads what the platform keeps of the deployment.
+	// Decoder decodes the platform's deployment records.
 	Decoder cluster.DeploymentDecoder
 	// NewStore returns a client of the record store at host:port.
 	NewStore func(address string) port.RecordStore
 }
 
-// client runs statements against the record store: no node need be asked.
+// client runs statements directly against the record store, without contacting any node.
 type client struct {
-	store     port.RecordStore
-	decoder   cluster.DeploymentDecoder
-	commander *configuration.Executor
-	operator  string
-	wait      time.Duration
+	store    port.RecordStore
+	decoder  cluster.DeploymentDecoder
+	executor *configuration.Executor
+	operator string
+	wait     time.Duration
 }
 
-// newClient returns a client of the store that the flags name.
+// newClient returns a client of the record store at the address given by the flags.
 func (p Platform) newClient(c *cli.Command) (*client, error) {
 	address := c.String("store")
 	if address == "" {
-		return nil, command.Fail(command.ExitUsage, fmt.Errorf("--store HOST:PORT or DOORSTEP_STORE names the record store"))
+		return nil, command.Fail(command.ExitUsage, fmt.Errorf("no record store: set --store HOST:PORT or DOORSTEP_STORE"))
 	}
 	store := p.NewStore(address)
 	return &client{
-		store: store, decoder: p.Decoder, commander: &configuration.Executor{Store: store, Now: time.Now},
+		store: store, decoder: p.Decoder, executor: &configuration.Executor{Store: store, Now: time.Now},
 		operator: c.String("operator"), wait: time.Duration(c.Int("wait")) * time.Second,
 	}, nil
 }
@@ -53,21 +53,21 @@
 	return hex.EncodeToString(random[:])
 }
 
-// run carries one statement out.
-func (c *client) run(ctx context.Context, one statement.Statement, token string, ifRevision uint64) (port.OperatorReply, error) {
+// run executes one statement.
+func (c *client) run(ctx context.Context, s statement.Statement, token string, ifRevision uint64) (port.OperatorReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
-	if one.Query != nil {
-		return c.query(ctx, one.Query)
+	if s.Query != nil {
+		return c.query(ctx, s.Query)
 	}
-	if one.Command.Kind == port.ShowStatus {
-		token = one.Command.Token
+	if s.Command.Kind == port.ShowStatus {
+		token = s.Command.Token
 	}
 	if token == "" {
 		token = newToken()
 	}
-	return c.commander.Submit(ctx, port.OperatorCall{
-		Operator: c.operator, Token: token, IfRevision: ifRevision, Text: one.Text, Command: one.Command, Explain: one.Explain,
+	return c.executor.Submit(ctx, port.OperatorCall{
+		Operator: c.operator, Token: token, IfRevision: ifRevision, Text: s.Text, Command: s.Command, Explain: s.Explain,
 	}), nil
 }
 
@@ -76,13 +76,13 @@
 		return port.OperatorReply{}, command.Fail(command.ExitUsage, err)
 	}
 	startedAt := time.Now()
-	g := &gathering{client: c, ctx: ctx}
-	rows := g.rows(q.Subject)
-	if g.err != nil {
-		return port.OperatorReply{}, command.Fail(command.ExitFailed, g.err)
+	reader := &queryReader{client: c, ctx: ctx}
+	rows := reader.rows(q.Subject)
+	if reader.err != nil {
+		return port.OperatorReply{}, command.Fail(command.ExitFailed, reader.err)
 	}
-	columns, found := query.Run(q, rows)
+	columns, matching := query.Run(q, rows)
 	return port.OperatorReply{
-		Status: port.Answered, Columns: columns, Rows: found, Revision: g.revision, AgeMilliseconds: time.Since(startedAt).Milliseconds(),
+		Status: port.Answered, Columns: columns, Rows: matching, Revision: reader.revision, AgeMilliseconds: time.Since(startedAt).Milliseconds(),
 	}, nil
 }
--- a/internal/command/operator/explain.go
+++ b/internal/command/operator/explain.go
@@ -19,10 +19,11 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// contextMs is how far around an id's own lines a node's other events are shown.
-const contextMs = 2000
+// contextWindowMs is how long before the first and after the last line of an ID a node's context events are
+// included.
+const contextWindowMs = 2000
 
-// logLine is one line of a node's log.
+// logLine is one event from a node's log.
 type logLine struct {
 	node    string
 	number  int
@@ -38,28 +39,28 @@
 	return ""
 }
 
-// float returns a field that holds a number, 0 if there is none.
+// float returns a numeric field, 0 if it is missing.
 func (l *logLine) float(name string) float64 {
 	value, _ := l.fields[name].(float64)
 	return value
 }
 
-// about reports whether the line names an id.
-func (l *logLine) about(id string) bool {
+// mentions reports whether the line refers to the request, item or job with the ID.
+func (l *logLine) mentions(id string) bool {
 	return l.text("request") == id || l.text("item") == id || l.text("job") == id
 }
 
-// explainCommand tells from saved logs what became of a request, an item or a job.
+// explainCommand reports the outcome of a request, an item or a job from saved logs.
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell from saved logs what became of a request, an item or a batch job",
+		Usage:     "explain the outcome of a request, an item or a batch job from saved logs",
 		ArgsUsage: "ID",
 		Flags:     []cli.Flag{logsFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			id := c.Args().First()
 			if id == "" {
-				return command.Fail(command.ExitUsage, fmt.Errorf("an ID is needed; see --help"))
+				return command.Fail(command.ExitUsage, fmt.Errorf("missing ID; see --help"))
 			}
 			logs, closeLogs, err := openLogs(c.StringSlice("logs"))
 			if err != nil {
@@ -75,10 +76,10 @@
 }
 
 func logsFlag() cli.Flag {
-	return &cli.StringSliceFlag{Name: "logs", Usage: "a log `FILE` in JSON; one for each, - for standard input", Required: true}
+	return &cli.StringSliceFlag{Name: "logs", Usage: "a log `FILE` in JSON; repeatable, - for standard input", Required: true}
 }
 
-// openLogs opens the logs that the flag names.
+// openLogs opens the log files; the path - means standard input.
 func openLogs(paths []string) (logs []io.Reader, closeAll func(), err error) {
 	var files []*os.File
 	closeAll = func() {
@@ -102,19 +103,19 @@
 	return logs, closeAll, nil
 }
 
-// Explain writes the timeline of an id over the logs of all nodes, and its cause in a
-// sentence.
+// Explain writes the timeline of an ID from the logs of all nodes, followed by a one-line summary of its
+// outcome.
 func Explain(output io.Writer, id string, logs ...io.Reader) error {
 	lines, err := readLogs(logs)
 	if err != nil {
 		return err
 	}
-	timeline := timelineOf(lines, id)
+	timeline := buildTimeline(lines, id)
 	if len(timeline) == 0 {
-		return fmt.Errorf("no line names %q: its log may be sampled (event %d), or another node's", id, event.LogLinesDropped)
+		return fmt.Errorf("no log line mentions %q: its lines may have been dropped by sampling (event %d) or be in another node's log", id, event.LogLinesDropped)
 	}
 	printTimeline(output, timeline)
-	_, err = fmt.Fprintf(output, "cause: %s\n", causeOf(timeline, id))
+	_, err = fmt.Fprintf(output, "cause: %s\n", describeCause(timeline, id))
 	return err
 }
 
@@ -127,19 +128,18 @@
 		}
 		lines = append(lines, read...)
 	}
-	// All lines carry the record store's clock, so they order across nodes whatever
-	// the nodes' own time of day shows.
+	// Lines are sorted by the record store's clock because the nodes' wall clocks may differ.
 	slices.SortStableFunc(lines, func(a, b *logLine) int { return cmp.Compare(a.clockMs, b.clockMs) })
 	return lines, nil
 }
 
-// readLog reads lines of JSON; what stands before the brace, or is no event, is passed
-// over.
-func readLog(from io.Reader) ([]*logLine, error) {
-	const longestLine = 1 << 20
+// readLog reads events in JSON, one per line. It ignores any prefix before the opening brace, as added by log
+// collectors, and skips lines that are not events.
+func readLog(r io.Reader) ([]*logLine, error) {
+	const maxLineBytes = 1 << 20
 	var lines []*logLine
-	scanner := bufio.NewScanner(from)
-	scanner.Buffer(nil, longestLine)
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		start := strings.IndexByte(text, '{')
@@ -164,32 +164,32 @@
 	return lines, scanner.Err()
 }
 
-// timelineOf returns the lines about an id and, from the nodes that wrote them, what
-// these nodes learned or lost around that time.
-func timelineOf(lines []*logLine, id string) []*logLine {
+// buildTimeline returns the lines that mention an ID and the context events of the same nodes around that
+// time.
+func buildTimeline(lines []*logLine, id string) []*logLine {
 	spans := map[string][2]float64{}
-	for _, one := range lines {
-		if one.about(id) {
-			span, ok := spans[one.node]
+	for _, line := range lines {
+		if line.mentions(id) {
+			span, ok := spans[line.node]
 			if !ok {
-				span = [2]float64{one.clockMs, one.clockMs}
+				span = [2]float64{line.clockMs, line.clockMs}
 			}
-			spans[one.node] = [2]float64{min(span[0], one.clockMs), max(span[1], one.clockMs)}
+			spans[line.node] = [2]float64{min(span[0], line.clockMs), max(span[1], line.clockMs)}
 		}
 	}
 	var timeline []*logLine
-	for _, one := range lines {
-		span, ok := spans[one.node]
-		near := ok && one.clockMs >= span[0]-contextMs && one.clockMs <= span[1]+contextMs
-		if one.about(id) || near && isContext(one.number) {
-			timeline = append(timeline, one)
+	for _, line := range lines {
+		span, ok := spans[line.node]
+		near := ok && line.clockMs >= span[0]-contextWindowMs && line.clockMs <= span[1]+contextWindowMs
+		if line.mentions(id) || near && isContextEvent(line.number) {
+			timeline = append(timeline, line)
 		}
 	}
 	return timeline
 }
 
-// isContext reports whether an event tells what a node believes or depends on.
-func isContext(number int) bool {
+// isContextEvent reports whether an event describes the state of a node rather than a single request or item.
+func isContextEvent(number int) bool {
 	return slices.Contains([]int{
 		event.ProcessStarted, event.ProcessStopping, event.ProcessStopped, event.SettingsReloaded, event.RoutesApplied,
 		event.ReplicaLeaving, event.ReplicaRemoved, event.ReplicaEjected, event.StoreLost, event.StoreRegained, event.LogLinesDropped,
@@ -197,94 +197,94 @@
 }
 
 func printTimeline(output io.Writer, timeline []*logLine) {
-	for _, one := range timeline {
+	for _, line := range timeline {
 		var names []string
-		for name := range one.fields {
+		for name := range line.fields {
 			if !strings.HasPrefix(name, "@") && name != "event" && name != "clock_ms" {
 				names = append(names, name)
 			}
 		}
 		slices.Sort(names)
-		var shown []string
+		var fields []string
 		for _, name := range names {
-			shown = append(shown, name+"="+one.text(name))
+			fields = append(fields, name+"="+line.text(name))
 		}
-		fmt.Fprintf(output, "%10.3f s  %-24s %d %s  %s\n", one.clockMs/1000, one.node, one.number, one.message, strings.Join(shown, " "))
+		fmt.Fprintf(output, "%10.3f s  %-24s %d %s  %s\n", line.clockMs/1000, line.node, line.number, line.message, strings.Join(fields, " "))
 	}
 }
 
-// causeOf says in a sentence what decided over the id.
-func causeOf(timeline []*logLine, id string) string {
+// describeCause summarizes the outcome of an ID in line line.
+func describeCause(timeline []*logLine, id string) string {
 	var own []*logLine
-	for _, one := range timeline {
-		if one.about(id) {
-			own = append(own, one)
+	for _, line := range timeline {
+		if line.mentions(id) {
+			own = append(own, line)
 		}
 	}
 	last := own[len(own)-1]
-	if slices.ContainsFunc(own, func(one *logLine) bool { return one.text("job") == id }) {
+	if slices.ContainsFunc(own, func(line *logLine) bool { return line.text("job") == id }) {
 		return jobCause(timeline, own)
 	}
-	for _, one := range slices.Backward(own) {
-		switch one.number {
+	for _, line := range slices.Backward(own) {
+		switch line.number {
 		case event.RequestRefused:
-			return refusalCause(timeline, one)
+			return refusalCause(timeline, line)
 		case event.RequestAnswered:
-			return fmt.Sprintf("answered by replica %s with status %s after %s attempts and %s ms", one.text("replica"), one.text("status"), one.text("attempts"), one.text("took_ms"))
+			return fmt.Sprintf("answered by replica %s with status %s after %s attempts and %s ms", line.text("replica"), line.text("status"), line.text("attempts"), line.text("took_ms"))
 		case event.ItemTerminated:
 			return fmt.Sprintf("the item was given up: %s, after %s failed runs and %s failed scoring calls%s",
-				one.text("reason"), one.text("failures"), one.text("scoring_failures"), scoringCause(own))
+				line.text("reason"), line.text("failures"), line.text("scoring_failures"), scoringCause(own))
 		case event.ItemCompleted:
 			return fmt.Sprintf("the item was completed at replica %s, %s ms after its first run, in %s runs with %s interruptions and %s moves; %s us an event%s",
-				one.text("replica"), one.text("since_ms"), one.text("runs"), one.text("interruptions"), one.text("moves"), one.text("pace_us"), scoringCause(own))
+				line.text("replica"), line.text("since_ms"), line.text("runs"), line.text("interruptions"), line.text("moves"), line.text("pace_us"), scoringCause(own))
 		}
 	}
-	return "undecided in these logs; last: " + last.message
+	return "no outcome in these logs; last event: " + last.message
 }
 
-// scoringCause says what became of an item's scoring call, if its text was whole and to be
-// scored.
+// scoringCause describes the outcome of an item's scoring call, empty if the item was not to be scored or not
+// completed.
 func scoringCause(own []*logLine) string {
 	cause := ""
-	for _, one := range own {
-		switch one.number {
+	for _, line := range own {
+		switch line.number {
 		case event.ItemCompleted:
-			if one.text("to_score") == "true" {
+			if line.text("to_score") == "true" {
 				cause = "; never scored"
 			}
 		case event.ScoringUnrouted:
-			cause = fmt.Sprintf("; never scored: no route for %s%s", one.text("host"), one.text("path"))
+			cause = fmt.Sprintf("; never scored: no route for %s%s", line.text("host"), line.text("path"))
 		case event.ScoringRetried:
-			cause = fmt.Sprintf("; never scored: last, replica %s %s, %s failures", one.text("replica"), attemptCause(one), one.text("failures"))
+			cause = fmt.Sprintf("; never scored: last, replica %s %s, %s failures", line.text("replica"), attemptCause(line), line.text("failures"))
 		case event.ItemScored:
-			return fmt.Sprintf("; scored by replica %s %s ms after that, in %s attempts", one.text("replica"), one.text("since_whole_ms"), one.text("attempts"))
+			return fmt.Sprintf("; scored by replica %s %s ms after that, in %s attempts", line.text("replica"), line.text("since_whole_ms"), line.text("attempts"))
 		}
 	}
 	return cause
 }
 
-// jobCause sums up what became of a batch job.
+// jobCause summarizes the outcome of a batch job.
 func jobCause(timeline, own []*logLine) string {
 	count := map[int]int{}
 	var accepted, end *logLine
 	cause := ""
-	for _, one := range own {
-		count[one.number]++
-		switch one.number {
+	for _, line := range own {
+		count[line.number]++
+		switch line.number {
 		case event.JobAccepted:
 			if accepted == nil {
-				accepted = one
+				accepted = line
 			}
 		case event.JobCompleted, event.JobEnded:
-			end = one
+			end = line
 		case event.JobRefused:
-			cause = fmt.Sprintf("; %s refused it at %.3f s, %s", one.node, one.clockMs/1000, storeCause(timeline, one))
+			cause = fmt.Sprintf("; %s refused it at %.3f s, %s", line.node, line.clockMs/1000, storeCause(timeline, line))
 		}
 	}
 	if accepted == nil {
 		return "the job was not accepted" + cause
 	}
-	state := "it is neither complete nor ended in these logs"
+	state := "neither completed nor ended in these logs"
 	if end != nil {
 		state = fmt.Sprintf("%s at %.3f s", end.message, end.clockMs/1000)
 	}
@@ -292,18 +292,18 @@
 		accepted.text("items"), accepted.node, accepted.clockMs/1000, state, count[event.JobTaken], count[event.ItemRetried], count[event.ItemTerminated], cause)
 }
 
-// refusalCause joins a refusal with the attempts before it and what its node knew.
+// refusalCause describes a refusal with the preceding attempts and the state of the node at that time.
 func refusalCause(timeline []*logLine, refused *logLine) string {
 	cause := fmt.Sprintf("%s answered %s itself: %s", refused.node, refused.text("status"), refused.text("reason"))
 	if tried := refused.text("replicas"); tried != "" {
 		cause += "; tried " + tried
 	}
-	for _, one := range timeline {
+	for _, line := range timeline {
 		switch {
-		case one.number == event.AttemptEnded && one.text("request") == refused.text("request"):
-			cause += fmt.Sprintf("; replica %s: %s", one.text("replica"), attemptCause(one))
-		case one.number == event.ReplicaLeaving && one.node == refused.node:
-			cause += fmt.Sprintf("; replica %s was leaving", one.text("replica"))
+		case line.number == event.AttemptEnded && line.text("request") == refused.text("request"):
+			cause += fmt.Sprintf("; replica %s: %s", line.text("replica"), attemptCause(line))
+		case line.number == event.ReplicaLeaving && line.node == refused.node:
+			cause += fmt.Sprintf("; replica %s was leaving", line.text("replica"))
 		}
 	}
 	if version := versionAt(timeline, refused); version != "" {
@@ -315,33 +315,33 @@
 	return cause
 }
 
-func attemptCause(one *logLine) string {
-	if text := one.text("error"); text != "" {
+func attemptCause(line *logLine) string {
+	if text := line.text("error"); text != "" {
 		return text
 	}
-	if status := one.text("status"); status == strconv.Itoa(http.StatusInternalServerError) {
+	if status := line.text("status"); status == strconv.Itoa(http.StatusInternalServerError) {
 		return "answered " + status
 	}
-	return "answered " + one.text("status") + " and did not run it"
+	return "answered " + line.text("status") + " and did not run it"
 }
 
-// versionAt returns the configuration that a line's node went by, if these logs tell.
+// versionAt returns the configuration version in force at a line's node, empty if it is not in the logs.
 func versionAt(timeline []*logLine, at *logLine) string {
 	version := ""
-	for _, one := range timeline {
-		if one.number == event.RoutesApplied && one.node == at.node && one.clockMs <= at.clockMs {
-			version = one.text("version")
+	for _, line := range timeline {
+		if line.number == event.RoutesApplied && line.node == at.node && line.clockMs <= at.clockMs {
+			version = line.text("version")
 		}
 	}
 	return version
 }
 
-// storeCause says whether a line's node had lost the record store.
+// storeCause describes the record store as unavailable if the line's node had lost it, and is empty otherwise.
 func storeCause(timeline []*logLine, at *logLine) string {
 	lost := false
-	for _, one := range timeline {
-		if one.node == at.node && one.clockMs <= at.clockMs {
-			switch one.number {
+	for _, line := range timeline {
+		if line.node == at.node && line.clockMs <= at.clockMs {
+			switch line.number {
 			case event.StoreLost:
 				lost = true
 			case event.StoreRegained:
--- a/internal/command/operator/explain_simulated_test.go
+++ b/internal/command/operator/explain_simulated_test.go
@@ -13,25 +13,24 @@
 	"github.com/doorstep/doorstep/internal/simulation/clustersim"
 )
 
-// seedsAtMost bounds the seeds that are played until a fault shows: which node is killed,
-// and whether it owns a job then, is the seed's choice.
-const seedsAtMost = 10
+// maxSeeds limits the seeds that are tried, because not every seed triggers the expected event.
+const maxSeeds = 10
 
-// simulatedLogs plays a deployment under a fault until a seed brings events of a number that name ids
-// that begin with a part; it returns the nodes' logs and these ids.
-func simulatedLogs(t *testing.T, faults string, field string, number int, part string) (logs *bytes.Buffer, ids []string) {
+// simulatedLogs simulates a deployment with faults, trying seeds until one logs an event with the given number
+// whose field has the given prefix. It returns the nodes' logs and the matching IDs.
+func simulatedLogs(t *testing.T, faults string, field string, number int, prefix string) (logs *bytes.Buffer, ids []string) {
 	t.Helper()
-	for seed := uint64(1); seed <= seedsAtMost; seed++ {
-		logs, ids = playSeed(t, seed, faults, field, number)
-		if ids = slices.DeleteFunc(ids, func(id string) bool { return !strings.HasPrefix(id, part) }); len(ids) > 0 {
+	for seed := uint64(1); seed <= maxSeeds; seed++ {
+		logs, ids = simulateSeed(t, seed, faults, field, number)
+		if ids = slices.DeleteFunc(ids, func(id string) bool { return !strings.HasPrefix(id, prefix) }); len(ids) > 0 {
 			return logs, ids
 		}
 	}
-	t.Fatalf("%s brought no event %d of %q in %d seeds", faults, number, part, seedsAtMost)
+	t.Fatalf("%s caused no event %d for IDs with prefix %q in %d seeds", faults, number, prefix, maxSeeds)
 	return nil, nil
 }
 
-func playSeed(t *testing.T, seed uint64, faults, field string, number int) (logs *bytes.Buffer, ids []string) {
+func simulateSeed(t *testing.T, seed uint64, faults, field string, number int) (logs *bytes.Buffer, ids []string) {
 	t.Helper()
 	found, err := clustersim.FindFaults(faults)
 	if err != nil {
@@ -61,7 +60,7 @@
 	for _, c := range []struct {
 		faults, field string
 		number        int
-		// id begins the id that is explained.
+		// id is the prefix of the explained IDs.
 		id   string
 		want string
 	}{
@@ -87,7 +86,7 @@
 				}
 				t.Logf("%s: %s", id, cause)
 			}
-			t.Errorf("no cause names %q", c.want)
+			t.Errorf("no cause contains %q", c.want)
 		})
 	}
 }
--- a/internal/command/operator/explain_test.go
+++ b/internal/command/operator/explain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Lines as nodes write them, out of order and with a prefix as collectors add one.
+// savedLogs contains lines out of order, with collectors' prefixes, and one line that is not JSON.
 const savedLogs = `
   1.200 node-b {"@level":"warn","@message":"request not served","@module":"doorstepd.node-b","event":611,"clock_ms":1300,"request":"q1","status":502,"reason":"no attempt left"}
   1.100 node-b {"@level":"info","@message":"attempt failed","@module":"doorstepd.node-b","event":612,"clock_ms":1250,"request":"q1","replica":"r7","status":0,"outcome":3,"error":"connection reset"}
@@ -35,17 +35,17 @@
 		{"i1", []string{"given up: failed at every attempt", "3 failed runs"}, ""},
 		{"i2", []string{"completed at replica r1", "7000 ms", "1 moves"}, ""},
 	} {
-		cause := causeOf(timelineOf(lines, c.id), c.id)
+		cause := describeCause(buildTimeline(lines, c.id), c.id)
 		for _, part := range c.want {
 			if !strings.Contains(cause, part) {
 				t.Errorf("%s: %q lacks %q", c.id, cause, part)
 			}
 		}
 		if c.not != "" && strings.Contains(cause, c.not) {
-			t.Errorf("%s: %q names %q, which has no part in it", c.id, cause, c.not)
+			t.Errorf("%s: %q mentions the unrelated %q", c.id, cause, c.not)
 		}
 	}
-	if got := timelineOf(lines, "unknown"); len(got) != 0 {
-		t.Errorf("%d lines of an unknown id", len(got))
+	if got := buildTimeline(lines, "unknown"); len(got) != 0 {
+		t.Errorf("%d lines for an unknown ID, want none", len(got))
 	}
 }
--- a/internal/command/operator/operator.go
+++ b/internal/command/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the command line of operators: it runs one statement, a
-// file of them, or an interactive prompt.
+// Package operator implements doorstep, the operators' command line. It runs statements from the arguments, a
+// file or an interactive prompt, and analyzes saved logs.
 package operator
 
 import (
@@ -29,15 +29,15 @@
 func root(platform Platform) *cli.Command {
 	return &cli.Command{
 		Name:  "doorstep",
-		Usage: "drive a doorstep rollout service",
+		Usage: "operate a doorstep rollout service",
 		Description: "Statements run against the deployment's record store.\n" +
-			"Exit codes: 0 done, 1 the store did not answer, 2 bad arguments or statement,\n" +
-			"3 refused, 5 undecided (ask again with the token).",
+			"Exit codes: 0 success, 1 the store did not respond, 2 invalid arguments or statement,\n" +
+			"3 refused, 5 outcome unknown (repeat the command with the same token).",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "store", Usage: "the record store, as `HOST:PORT`", Sources: cli.EnvVars("DOORSTEP_STORE")},
-			&cli.StringFlag{Name: "operator", Usage: "who asks, for the history", Value: "operator", Sources: cli.EnvVars("DOORSTEP_OPERATOR", "USER")},
+			&cli.StringFlag{Name: "operator", Usage: "the operator's name, recorded in the history", Value: "operator", Sources: cli.EnvVars("DOORSTEP_OPERATOR", "USER")},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Usage: "table or json", Value: "table"},
-			&cli.IntFlag{Name: "wait", Usage: "seconds to wait for an answer", Value: 10},
+			&cli.IntFlag{Name: "wait", Usage: "seconds to wait for a response", Value: 10},
 		},
 		Commands: []*cli.Command{
 			execCommand(platform), shellCommand(platform), promptsCommand(platform), grammarCommand(), explainCommand(), stepsCommand(),
@@ -53,28 +53,28 @@
 		ArgsUsage: "['STATEMENT; ...']",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Usage: "read the statements from a `FILE`, - for standard input"},
-			&cli.StringFlag{Name: "token", Usage: "the command's token; repeat it to ask again"},
-			&cli.Uint64Flag{Name: "if-revision", Usage: "refuse the command unless the configuration is at this revision"},
+			&cli.StringFlag{Name: "token", Usage: "idempotency token; use the same token to retry a command"},
+			&cli.Uint64Flag{Name: "if-revision", Usage: "refuse the command if the configuration has another revision"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			text, err := readStatements(c)
 			if err != nil {
 				return err
 			}
-			// The whole text is checked before any of it runs.
+			// All statements are parsed before the first one runs.
 			statements, err := statement.Parse(text)
 			if err != nil {
 				return command.Fail(command.ExitUsage, err)
 			}
 			if len(statements) > 1 && c.String("token") != "" {
-				return command.Fail(command.ExitUsage, errors.New("--token goes with one statement"))
+				return command.Fail(command.ExitUsage, errors.New("--token requires a single statement"))
 			}
 			client, err := platform.newClient(c)
 			if err != nil {
 				return err
 			}
-			for _, one := range statements {
-				if err := runOne(ctx, c, client, one); err != nil {
+			for _, stmt := range statements {
+				if err := runStatement(ctx, c, client, stmt); err != nil {
 					return err
 				}
 			}
@@ -98,22 +98,22 @@
 		}
 		return string(content), nil
 	}
-	return "", command.Fail(command.ExitUsage, errors.New("give one argument of statements, or --file"))
+	return "", command.Fail(command.ExitUsage, errors.New("expected statements as a single argument, or --file"))
 }
 
-func runOne(ctx context.Context, c *cli.Command, client *client, one statement.Statement) error {
-	reply, err := client.run(ctx, one, c.String("token"), c.Uint64("if-revision"))
+func runStatement(ctx context.Context, c *cli.Command, client *client, stmt statement.Statement) error {
+	reply, err := client.run(ctx, stmt, c.String("token"), c.Uint64("if-revision"))
 	if err != nil {
 		return err
 	}
-	if err := show(c.Root().Writer, c.String("output"), reply); err != nil {
+	if err := writeReply(c.Root().Writer, c.String("output"), reply); err != nil {
 		return err
 	}
-	return exitOf(reply)
+	return exitError(reply)
 }
 
-// exitOf turns a reply's status into an exit code.
-func exitOf(reply port.OperatorReply) error {
+// exitError returns the error for the exit code of a reply, nil for success.
+func exitError(reply port.OperatorReply) error {
 	switch reply.Status {
 	case port.Refused:
 		return command.Fail(command.ExitRefused, nil)
@@ -123,14 +123,14 @@
 	return nil
 }
 
-func show(w io.Writer, format string, reply port.OperatorReply) error {
+func writeReply(w io.Writer, format string, reply port.OperatorReply) error {
 	if format == "json" {
 		encoder := json.NewEncoder(w)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(reply)
 	}
 	if format != "table" {
-		return command.Fail(command.ExitUsage, fmt.Errorf("--output is %q; allowed is table or json", format))
+		return command.Fail(command.ExitUsage, fmt.Errorf("invalid --output %q: must be table or json", format))
 	}
 	if reply.Status != port.Answered {
 		_, _ = fmt.Fprintln(w, summary(reply))
@@ -172,11 +172,11 @@
 		Usage: "manage prompt sets",
 		Commands: []*cli.Command{{
 			Name:      "put",
-			Usage:     "store a prompt set, one prompt a line",
+			Usage:     "store a prompt set from a file with one prompt per line",
 			ArgsUsage: "NAME FILE",
 			Action: func(ctx context.Context, c *cli.Command) error {
 				if c.NArg() != 2 {
-					return command.Fail(command.ExitUsage, errors.New("prompts put takes NAME and FILE"))
+					return command.Fail(command.ExitUsage, errors.New("prompts put requires NAME and FILE"))
 				}
 				content, err := os.ReadFile(c.Args().Get(1))
 				if err != nil {
@@ -202,7 +202,7 @@
 		}
 	}
 	if len(prompts) == 0 {
-		return command.Fail(command.ExitUsage, errors.New("the file holds no prompt"))
+		return command.Fail(command.ExitUsage, errors.New("the file contains no prompts"))
 	}
 	err := experiment.PutPrompts(ctx, client.store, set, prompts)
 	switch {
@@ -218,7 +218,7 @@
 func grammarCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "grammar",
-		Usage: "print the language's grammar in EBNF",
+		Usage: "print the grammar of statements in EBNF",
 		Action: func(_ context.Context, c *cli.Command) error {
 			_, err := fmt.Fprintln(c.Root().Writer, statement.Grammar())
 			return err
--- a/internal/command/operator/rows.go
+++ b/internal/command/operator/rows.go
@@ -18,21 +18,20 @@
 	"github.com/doorstep/doorstep/internal/version/usage"
 )
 
-// errStore says that a query could not be answered.
-var errStore = errors.New("the record store did not answer in time")
+var errStoreTimeout = errors.New("the record store did not respond in time")
 
-// gathering reads what one query is about. The first failure ends it.
-type gathering struct {
+// queryReader reads the rows of one query from the record store. It stops at the first error.
+type queryReader struct {
 	client *client
 	ctx    context.Context
-	// revision is the store's at the newest read, clock its steady clock.
+	// revision and clock are the store's revision and monotonic clock at the latest read.
 	revision uint64
 	clock    time.Duration
 	err      error
 }
 
-// rows returns the rows of a subject, in the order of its columns.
-func (g *gathering) rows(subject string) [][]string {
+// rows returns the rows of a subject. Values are in the order of the subject's columns.
+func (g *queryReader) rows(subject string) [][]string {
 	switch subject {
 	case "experiments":
 		return g.experiments()
@@ -66,15 +65,15 @@
 	return nil
 }
 
-// read reads a partition of a table, from a key on.
-func (g *gathering) read(table, partition, from string) []port.Record {
+// read returns the records of a partition, starting at a key. It retries until the context ends.
+func (g *queryReader) read(table, partition, from string) []port.Record {
 	var records []port.Record
 	for g.err == nil {
 		result := g.client.store.Range(g.ctx, port.RecordRange{Table: table, Partition: partition, From: from})
 		switch {
 		case result.Status == port.RecordDone:
 		case g.ctx.Err() != nil:
-			g.err = errStore
+			g.err = errStoreTimeout
 			return nil
 		default:
 			time.Sleep(100 * time.Millisecond)
@@ -90,105 +89,105 @@
 	return records
 }
 
-// decode decodes a record; one that can't be read ends the query.
-func (g *gathering) decode(record port.Record, into proto.Message) {
+// decode decodes a record and sets err if it is invalid.
+func (g *queryReader) decode(record port.Record, into proto.Message) {
 	if err := proto.Unmarshal(record.Value, into); err != nil && g.err == nil {
 		g.err = fmt.Errorf("record %s/%s: %w", record.Table, record.Key, err)
 	}
 }
 
-func (g *gathering) deployment() port.Deployment {
-	var whole port.Deployment
+func (g *queryReader) deployment() port.Deployment {
+	var deployment port.Deployment
 	for _, table := range g.client.decoder.DeploymentTables() {
 		part := g.client.decoder.DecodeDeployment(g.read(table, "", ""))
 		g.checkReadable(table, part)
 		if part.Routes != nil {
-			whole.Routes = part.Routes
+			deployment.Routes = part.Routes
 		}
-		whole.Replicas = append(whole.Replicas, part.Replicas...)
-		whole.Targets = append(whole.Targets, part.Targets...)
-		whole.Evacuations = append(whole.Evacuations, part.Evacuations...)
+		deployment.Replicas = append(deployment.Replicas, part.Replicas...)
+		deployment.Targets = append(deployment.Targets, part.Targets...)
+		deployment.Evacuations = append(deployment.Evacuations, part.Evacuations...)
 	}
-	return whole
+	return deployment
 }
 
-// checkReadable ends the query if a record can't be read, but for entries in the list of replicas: others
-// than replicas write there too.
-func (g *gathering) checkReadable(table string, part port.Deployment) {
-	for _, one := range part.Unreadable {
-		entry := slices.ContainsFunc(part.Gone, func(gone port.GoneReplica) bool { return gone.ID == one.Key })
-		if !entry && g.err == nil {
-			g.err = fmt.Errorf("record %s/%s: %s", table, one.Key, one.Reason)
+// checkReadable sets err if a record could not be decoded. It ignores undecodable entries in the list of
+// replicas because other writers add entries there.
+func (g *queryReader) checkReadable(table string, part port.Deployment) {
+	for _, record := range part.Unreadable {
+		replicaEntry := slices.ContainsFunc(part.Gone, func(gone port.GoneReplica) bool { return gone.ID == record.Key })
+		if !replicaEntry && g.err == nil {
+			g.err = fmt.Errorf("record %s/%s: %s", table, record.Key, record.Reason)
 		}
 	}
 }
 
-func (g *gathering) configuration() *doorstepv1.Configuration {
+func (g *queryReader) configuration() *doorstepv1.Configuration {
 	key := configuration.Key()
 	for _, record := range g.read(key.Table, key.Partition, key.Key) {
 		if record.Key == key.Key {
-			held := &doorstepv1.Configuration{}
-			g.decode(record, held)
-			return held
+			decoded := &doorstepv1.Configuration{}
+			g.decode(record, decoded)
+			return decoded
 		}
 	}
 	return configuration.Empty()
 }
 
-func stateName(state doorstepv1.ExperimentState) string {
+func experimentStateName(state doorstepv1.ExperimentState) string {
 	return strings.ToLower(strings.TrimPrefix(state.String(), "EXPERIMENT_STATE_"))
 }
 
-func number[N int | int32 | int64 | uint32 | uint64](n N) string { return fmt.Sprint(n) }
+func formatNumber[N int | int32 | int64 | uint32 | uint64](n N) string { return fmt.Sprint(n) }
 
-func (g *gathering) experiments() [][]string {
+func (g *queryReader) experiments() [][]string {
 	var rows [][]string
 	for _, e := range g.configuration().Experiments {
 		rows = append(rows, []string{
-			e.Name, e.Policy, e.Service, stateName(e.State), strings.Join(e.Trainers, ","), number(e.Samples), number(e.StalenessBound),
-			number(e.IdleWeight), number(e.Share), e.Prompts, number(e.MaxTokens), e.Scoring,
+			e.Name, e.Policy, e.Service, experimentStateName(e.State), strings.Join(e.Trainers, ","), formatNumber(e.Samples), formatNumber(e.StalenessBound),
+			formatNumber(e.IdleWeight), formatNumber(e.Share), e.Prompts, formatNumber(e.MaxTokens), e.Scoring,
 		})
 	}
 	return rows
 }
 
-func (g *gathering) policies() [][]string {
+func (g *queryReader) policies() [][]string {
 	newest := map[string]int64{}
 	for _, target := range g.deployment().Targets {
 		newest[target.Model] = target.Version
 	}
 	var rows [][]string
 	for _, e := range g.configuration().Experiments {
-		rows = append(rows, []string{e.Policy, e.Name, number(newest[e.Policy]), stateName(e.State)})
+		rows = append(rows, []string{e.Policy, e.Name, formatNumber(newest[e.Policy]), experimentStateName(e.State)})
 		delete(newest, e.Policy)
 	}
 	for _, policy := range slices.Sorted(maps.Keys(newest)) {
-		rows = append(rows, []string{policy, "", number(newest[policy]), ""})
+		rows = append(rows, []string{policy, "", formatNumber(newest[policy]), ""})
 	}
 	return rows
 }
 
-func (g *gathering) versions() [][]string {
-	type held struct {
+func (g *queryReader) versions() [][]string {
+	type loadedVersion struct {
 		policy  string
 		version int64
 	}
-	counts := map[held]int{}
+	replicas := map[loadedVersion]int{}
 	for _, replica := range g.deployment().Replicas {
 		for policy, version := range replica.Versions {
-			counts[held{policy, version}]++
+			replicas[loadedVersion{policy, version}]++
 		}
 	}
 	var rows [][]string
-	for one, count := range counts {
-		rows = append(rows, []string{one.policy, number(one.version), number(count)})
+	for loaded, count := range replicas {
+		rows = append(rows, []string{loaded.policy, formatNumber(loaded.version), formatNumber(count)})
 	}
 	slices.SortFunc(rows, func(a, b []string) int { return slices.Compare(a, b) })
 	return rows
 }
 
-// usage lists what was reported, or is about to be, by window and tenant.
-func (g *gathering) usage() [][]string {
+// usage returns the usage reports, including those not yet accepted by the platform, by window and tenant.
+func (g *queryReader) usage() [][]string {
 	var rows [][]string
 	for _, record := range g.read(usage.Table, usage.ReportPartition, "") {
 		report := &doorstepv1.UsageReport{}
@@ -200,7 +199,7 @@
 	return rows
 }
 
-func (g *gathering) routes() [][]string {
+func (g *queryReader) routes() [][]string {
 	table := g.deployment().Routes
 	if table == nil {
 		return nil
@@ -213,13 +212,13 @@
 		}
 		rows = append(rows, []string{
 			route.Name, route.Host, route.PathPrefix, string(route.Kind), strings.Join(services, ","), route.Timeout.String(),
-			number(route.MaxAttempts),
+			formatNumber(route.MaxAttempts),
 		})
 	}
 	return rows
 }
 
-func (g *gathering) history() [][]string {
+func (g *queryReader) history() [][]string {
 	var rows [][]string
 	for _, record := range g.read(configuration.HistoryTable, configuration.Partition, configuration.RevisionPrefix) {
 		if !strings.HasPrefix(record.Key, configuration.RevisionPrefix) {
@@ -228,7 +227,7 @@
 		change := &doorstepv1.Change{}
 		g.decode(record, change)
 		at := time.UnixMilli(change.UnixMilliseconds).UTC().Format(time.RFC3339)
-		rows = append(rows, []string{number(change.ToRevision), number(change.FromRevision), change.Operator, at, change.Token, change.Statement})
+		rows = append(rows, []string{formatNumber(change.ToRevision), formatNumber(change.FromRevision), change.Operator, at, change.Token, change.Statement})
 	}
 	return rows
 }
--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -17,40 +17,42 @@
 	"github.com/doorstep/doorstep/internal/version/configuration"
 )
 
-// silentAfter is the age at which a node's status no longer says that it runs: nodes tell
-// of themselves every 20 s.
-const silentAfter = 50 * time.Second
+// statusTimeout is the age at which a node's status is stale. Nodes write their status every 20 s.
+const statusTimeout = 50 * time.Second
 
-func (g *gathering) replicas() [][]string {
-	drained, deployment := g.configuration(), g.deployment()
+func (g *queryReader) replicas() [][]string {
+	config, deployment := g.configuration(), g.deployment()
 	evacuated := map[string]bool{}
-	for _, one := range deployment.Evacuations {
-		evacuated[one.Zone] = !one.Lifted
+	for _, evacuation := range deployment.Evacuations {
+		evacuated[evacuation.Zone] = !evacuation.Lifted
 	}
 	var rows [][]string
-	for _, one := range deployment.Replicas {
-		known := endpoint.Endpoint{ReplicaRecord: one, Evacuated: evacuated[one.Zone]}
-		known.Held = configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, one.ID) ||
-			configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, one.Zone)
+	for _, replica := range deployment.Replicas {
+		known := endpoint.Endpoint{ReplicaRecord: replica, Evacuated: evacuated[replica.Zone]}
+		known.Held = configuration.IsDrained(config, doorstepv1.DrainKind_DRAIN_KIND_REPLICA, replica.ID) ||
+			configuration.IsDrained(config, doorstepv1.DrainKind_DRAIN_KIND_ZONE, replica.Zone)
 		state := "ready"
 		if reason := known.Withheld(); reason != endpoint.NotWithheld {
 			state = string(reason)
-		} else if one.ColdFor > 0 {
+		} else if replica.ColdFor > 0 {
 			state = "cold"
 		}
-		policies := slices.Sorted(maps.Keys(one.Versions))
+		policies := slices.Sorted(maps.Keys(replica.Versions))
 		if len(policies) == 0 {
-			rows = append(rows, []string{one.ID, one.Service, one.Zone, one.Address, number(one.Slots), "", "", state})
+			rows = append(rows, []string{replica.ID, replica.Service, replica.Zone, replica.Address, formatNumber(replica.Slots), "", "", state})
 		}
 		for _, policy := range policies {
-			rows = append(rows, []string{one.ID, one.Service, one.Zone, one.Address, number(one.Slots), policy, number(one.Versions[policy]), state})
+			rows = append(rows, []string{
+				replica.ID, replica.Service, replica.Zone, replica.Address, formatNumber(replica.Slots), policy,
+				formatNumber(replica.Versions[policy]), state,
+			})
 		}
 	}
 	return rows
 }
 
-func (g *gathering) nodes() [][]string {
-	drained := g.configuration()
+func (g *queryReader) nodes() [][]string {
+	config := g.configuration()
 	var rows [][]string
 	for _, record := range g.read(cluster.StatusTable, cluster.StatusTable, "") {
 		status := &doorstepv1.NodeStatus{}
@@ -58,24 +60,26 @@
 		age := g.clock - time.Duration(status.AtMs)*time.Millisecond
 		state := "not ready"
 		switch {
-		case age > silentAfter:
+		case age > statusTimeout:
 			state = "silent"
-		case configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_NODE, record.Key) ||
-			configuration.IsDrained(drained, doorstepv1.DrainKind_DRAIN_KIND_ZONE, status.Zone):
+		case configuration.IsDrained(config, doorstepv1.DrainKind_DRAIN_KIND_NODE, record.Key) ||
+			configuration.IsDrained(config, doorstepv1.DrainKind_DRAIN_KIND_ZONE, status.Zone):
 			state = "drained"
 		case status.Ready:
 			state = "ready"
 		}
 		rows = append(rows, []string{
-			record.Key, status.Zone, state, number(status.Configuration), number(status.JobsOwned), number(status.ItemsRunning), seconds(age),
+			record.Key, status.Zone, state, formatNumber(status.Configuration), formatNumber(status.JobsOwned), formatNumber(status.ItemsRunning), formatSeconds(age),
 		})
 	}
 	return rows
 }
 
-func seconds(d time.Duration) string { return strconv.FormatFloat(max(d, 0).Seconds(), 'f', 1, 64) }
+func formatSeconds(d time.Duration) string {
+	return strconv.FormatFloat(max(d, 0).Seconds(), 'f', 1, 64)
+}
 
-func (g *gathering) leases() [][]string {
+func (g *queryReader) leases() [][]string {
 	var rows [][]string
 	for _, record := range g.read(port.SharedTable, cluster.LeasePartition, "") {
 		if record.Key == cluster.UsageClockKey {
@@ -88,10 +92,10 @@
 	return rows
 }
 
-// quarantineStates names the states of requests that crashed replicas.
+// quarantineStates are the displayed names of quarantine states.
 var quarantineStates = map[quarantine.State]string{quarantine.Clear: "suspected", quarantine.Held: "held", quarantine.OnTrial: "on trial"}
 
-func (g *gathering) quarantine() [][]string {
+func (g *queryReader) quarantine() [][]string {
 	records := g.read(port.SharedTable, quarantine.Partition, "")
 	known := quarantine.New(quarantine.Options{Queue: &task.Queue{}, StoreClock: func(time.Time) time.Duration { return g.clock }})
 	known.Lift(time.Time{}, configuration.QuarantineLifts(g.configuration()))
@@ -99,29 +103,29 @@
 		known.OnRecord(record)
 	}
 	var rows [][]string
-	for _, one := range known.Reports(time.Time{}) {
+	for _, report := range known.Reports(time.Time{}) {
 		rows = append(rows, []string{
-			one.Request, one.Route, one.Tenant, number(one.Crashes), number(one.Trials), quarantineStates[one.Verdict.State],
-			number(int(one.Verdict.Left.Seconds())), number(int((g.clock - one.Last).Seconds())),
+			report.Request, report.Route, report.Tenant, formatNumber(report.Crashes), formatNumber(report.Trials), quarantineStates[report.Verdict.State],
+			formatNumber(int(report.Verdict.Left.Seconds())), formatNumber(int((g.clock - report.Last).Seconds())),
 		})
 	}
 	return rows
 }
 
-// cold lists the windows of cold replicas: who took requests last, how many all nodes have taken, and how
-// many seconds are left, less than 0 where a window is over.
-func (g *gathering) cold() [][]string {
+// cold returns the request windows of cold replicas with the node that sent last, the number of requests sent
+// by all nodes, and the remaining seconds, which are negative if the window is over.
+func (g *queryReader) cold() [][]string {
 	var rows [][]string
 	for _, record := range g.read(coldstart.Table, coldstart.Table, "") {
 		window := &doorstepv1.ColdWindow{}
 		g.decode(record, window)
 		left := time.Duration(window.UntilMs)*time.Millisecond - g.clock
-		rows = append(rows, []string{record.Key, window.Service, window.Node, number(window.Taken), strconv.FormatFloat(left.Seconds(), 'f', 1, 64)})
+		rows = append(rows, []string{record.Key, window.Service, window.Node, formatNumber(window.Taken), strconv.FormatFloat(left.Seconds(), 'f', 1, 64)})
 	}
 	return rows
 }
 
-func (g *gathering) drains() [][]string {
+func (g *queryReader) drains() [][]string {
 	var rows [][]string
 	for _, drain := range g.configuration().Drains {
 		rows = append(rows, []string{strings.ToLower(strings.TrimPrefix(drain.Kind.String(), "DRAIN_KIND_")), drain.Name})
--- a/internal/command/operator/rows_jobs.go
+++ b/internal/command/operator/rows_jobs.go
@@ -11,8 +11,8 @@
 	"github.com/doorstep/doorstep/internal/version/experiment"
 )
 
-// heads returns the heads of all jobs by their ids.
-func (g *gathering) heads() map[string]*doorstepv1.BatchJobHead {
+// heads returns the head records of all jobs by job ID.
+func (g *queryReader) heads() map[string]*doorstepv1.BatchJobHead {
 	heads := map[string]*doorstepv1.BatchJobHead{}
 	for n := range batch.Partitions {
 		for _, record := range g.read(port.SharedTable, batch.PartitionName(n), "") {
@@ -36,18 +36,18 @@
 	return "running"
 }
 
-func (g *gathering) jobs() [][]string {
+func (g *queryReader) jobs() [][]string {
 	heads := g.heads()
 	var rows [][]string
 	for _, id := range slices.Sorted(maps.Keys(heads)) {
 		head := heads[id]
 		age := g.clock - time.Duration(head.AcceptedAtMs)*time.Millisecond
-		rows = append(rows, []string{id, head.Model, head.Owner, number(head.Listed), number(head.Total), jobState(head), seconds(age)})
+		rows = append(rows, []string{id, head.Model, head.Owner, formatNumber(head.Listed), formatNumber(head.Total), jobState(head), formatSeconds(age)})
 	}
 	return rows
 }
 
-func (g *gathering) samples() [][]string {
+func (g *queryReader) samples() [][]string {
 	heads := g.heads()
 	var rows [][]string
 	for _, e := range g.configuration().Experiments {
@@ -64,7 +64,7 @@
 	step := experiment.Step{Experiment: name, Trainer: trainer, Number: progress.Acknowledged + 1}
 	draw := progress.Draw
 	if draw == nil {
-		return []string{name, trainer, number(step.Number), "", "", "", "", "not drawn"}
+		return []string{name, trainer, formatNumber(step.Number), "", "", "", "", "not drawn"}
 	}
 	state, listed := "drawn", int32(0)
 	if head := heads[step.JobID(draw.Attempt)]; head != nil {
@@ -73,5 +73,5 @@
 	if progress.Sealed {
 		state = "sealed"
 	}
-	return []string{name, trainer, number(step.Number), number(draw.Attempt), draw.Policy, number(listed), number(draw.Samples), state}
+	return []string{name, trainer, formatNumber(step.Number), formatNumber(draw.Attempt), draw.Policy, formatNumber(listed), formatNumber(draw.Samples), state}
 }
--- a/internal/command/operator/rows_test.go
+++ b/internal/command/operator/rows_test.go
@@ -13,7 +13,7 @@
 	"github.com/doorstep/doorstep/internal/version/configuration"
 )
 
-// tables is a record store that can be read alone.
+// tables is a read-only record store.
 type tables map[string][]port.Record
 
 func (tables) Commit(context.Context, port.RecordTransaction) port.RecordResult {
@@ -28,7 +28,7 @@
 	return port.RecordResult{Status: port.RecordRefused}
 }
 
-// evacuationDecoder reads records of evacuated zones, and of replicas in a zone and in another.
+// evacuationDecoder decodes records of evacuated zones and of replicas.
 type evacuationDecoder struct{}
 
 func (evacuationDecoder) DeploymentTables() []string { return []string{"operator", "replicas"} }
@@ -49,9 +49,10 @@
 	return change
 }
 
-// TestReplicaStates: the state tells why a replica gets no new work, as nodes see it.
+// TestReplicaStates tests that the state column names the reason why a replica receives no new work. Each
+// replica's ID is its expected state.
 func TestReplicaStates(t *testing.T) {
-	held, err := proto.Marshal(&doorstepv1.Configuration{Revision: 1, Drains: []*doorstepv1.Drain{{Kind: doorstepv1.DrainKind_DRAIN_KIND_REPLICA, Name: "drained"}}})
+	config, err := proto.Marshal(&doorstepv1.Configuration{Revision: 1, Drains: []*doorstepv1.Drain{{Kind: doorstepv1.DrainKind_DRAIN_KIND_REPLICA, Name: "drained"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,16 +62,16 @@
 	store := tables{
 		"operator":       {{RecordKey: port.RecordKey{Table: "operator", Key: "a"}}},
 		"replicas":       {replica("drained", "a"), replica("evacuated", "a"), replica("leaving", "a"), replica("ready", "b")},
-		port.SharedTable: {{RecordKey: configuration.Key(), Value: held}},
+		port.SharedTable: {{RecordKey: configuration.Key(), Value: config}},
 	}
-	g := &gathering{client: &client{store: store, decoder: evacuationDecoder{}}, ctx: context.Background()}
+	g := &queryReader{client: &client{store: store, decoder: evacuationDecoder{}}, ctx: context.Background()}
 	rows := g.rows("replicas")
 	if g.err != nil || len(rows) != 4 {
 		t.Fatalf("%v %v", rows, g.err)
 	}
 	for _, row := range rows {
 		if id, state := row[0], row[len(row)-1]; id != state {
-			t.Errorf("replica %s is %s", id, state)
+			t.Errorf("state of replica %s is %s", id, state)
 		}
 	}
 }
--- a/internal/command/operator/shell.go
+++ b/internal/command/operator/shell.go
@@ -75,8 +75,8 @@
 	if err != nil {
 		return err
 	}
-	for _, one := range statements {
-		if err := runOne(ctx, c, client, one); err != nil {
+	for _, stmt := range statements {
+		if err := runStatement(ctx, c, client, stmt); err != nil {
 			return err
 		}
 	}
--- a/internal/command/operator/steps.go
+++ b/internal/command/operator/steps.go
@@ -18,14 +18,14 @@
 	"github.com/doorstep/doorstep/internal/process/task"
 )
 
-// stepsCommand tells from saved logs where the time of batch jobs went.
+// stepsCommand breaks down the duration of batch jobs from saved logs.
 func stepsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "steps",
-		Usage: "tell from saved logs where the time of each training step went",
+		Usage: "break down the duration of each training step from saved logs",
 		Flags: []cli.Flag{
 			logsFlag(),
-			&cli.DurationFlag{Name: "late", Usage: "show only steps whose last item took longer"},
+			&cli.DurationFlag{Name: "late", Usage: "show only steps whose last item took at least this long"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			logs, closeLogs, err := openLogs(c.StringSlice("logs"))
@@ -41,40 +41,40 @@
 	}
 }
 
-// stepRecord is what the logs of all nodes tell of one batch job. Times are the record
-// store's clock, in milliseconds.
+// stepRecord is one batch job as recorded in the logs of all nodes. Times are milliseconds of the record store's
+// clock.
 type stepRecord struct {
 	id, model  string
 	step       int
 	items      int
 	acceptedMs float64
 	endedMs    float64
-	// owners counts the nodes that took the job over or were given it, after the first.
-	owners int
-	// ends counts the runs that did not complete, by outcome.
-	ends map[task.RunOutcome]int
-	done []itemRecord
-	// needless counts the moves of items whose text ended a few events later.
-	needless int
+	// ownerChanges counts how often the job was taken over or assigned to another node.
+	ownerChanges int
+	// runEnds counts runs that did not complete by outcome.
+	runEnds   map[task.RunOutcome]int
+	completed []itemRecord
+	// needlessMoves counts moves after which the item's text ended within needlessMoveEvents.
+	needlessMoves int
 }
 
-// needlessEvents is how many events a text makes at the most after a move that was needless.
-const needlessEvents = 8
+// needlessMoveEvents is the maximum number of events after a move for the move to count as needless.
+const needlessMoveEvents = 8
 
 // itemRecord is a completed item.
 type itemRecord struct {
 	id, group, replica string
-	// startMs is when its first run was sent, lastEndMs when a run ended before it was whole,
-	// 0 if the first run completed, doneMs when its text was whole.
-	startMs, lastEndMs, doneMs float64
-	events, lastRunEvents      int
-	// paceMs is the time between two events of its last run.
+	// startMs is when the first run was sent, lastFailureMs when the last incomplete run ended (0 if there was
+	// none), completedMs when the text was complete.
+	startMs, lastFailureMs, completedMs float64
+	events, lastRunEvents               int
+	// paceMs is the time between two events of the last run.
 	paceMs float64
 }
 
-// Steps writes a row for each job, in the order of their acceptance: when its items began,
-// when they were whole, what ended runs early, and for the item that was whole last what its
-// time went into.
+// Steps writes a row for each job in order of acceptance: when its items started and completed, why runs ended
+// early, and how the time of the item that completed last was spent. It omits jobs whose last item completed
+// sooner than late after acceptance.
 func Steps(w io.Writer, late time.Duration, logs ...io.Reader) error {
 	lines, err := readLogs(logs)
 	if err != nil {
@@ -82,49 +82,49 @@
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ACCEPTED\tJOB\tMODEL\tSTEP\tITEMS\tSTART, MEDIAN\tLAST\tWHOLE, 95%\tLAST\tENDED\tOWNERS\tRUNS REFUSED\tUNREACHABLE\tSILENT\tBROKEN\tSLOW\tNEEDLESSLY\tLAST ITEM")
-	for _, one := range stepsOf(lines) {
-		if one.lastWhole() >= late {
-			one.write(table)
+	for _, step := range collectSteps(lines) {
+		if step.lastCompletion() >= late {
+			step.write(table)
 		}
 	}
 	return table.Flush()
 }
 
-// stepsOf gathers the jobs whose acceptance is in the logs.
-func stepsOf(lines []*logLine) []*stepRecord {
+// collectSteps returns the jobs whose acceptance is in the logs, ordered by acceptance.
+func collectSteps(lines []*logLine) []*stepRecord {
 	steps := map[string]*stepRecord{}
-	broken := map[string]float64{}
+	lastFailures := map[string]float64{}
 	for _, line := range lines {
 		id := line.text("job")
 		if line.number == event.JobAccepted && steps[id] == nil {
 			steps[id] = &stepRecord{
 				id: id, model: line.text("model"), step: int(line.float("step")), items: int(line.float("items")), acceptedMs: line.clockMs,
-				ends: map[task.RunOutcome]int{},
+				runEnds: map[task.RunOutcome]int{},
 			}
 		}
-		one := steps[id]
-		if one == nil {
+		step := steps[id]
+		if step == nil {
 			continue
 		}
 		item := id + "/" + line.text("item")
 		switch line.number {
 		case event.JobTaken, event.JobAssigned:
-			one.owners++
+			step.ownerChanges++
 		case event.JobEnded:
-			one.endedMs = cmp.Or(one.endedMs, line.clockMs)
+			step.endedMs = cmp.Or(step.endedMs, line.clockMs)
 		case event.ItemRetried:
-			one.ends[task.RunOutcome(line.float("outcome"))]++
-			broken[item] = line.clockMs
+			step.runEnds[task.RunOutcome(line.float("outcome"))]++
+			lastFailures[item] = line.clockMs
 		case event.ItemCompleted:
 			if line.float("moves") > 0 {
-				one.ends[task.RunSlow]++
-				if line.float("last_run_events") <= needlessEvents {
-					one.needless++
+				step.runEnds[task.RunSlow]++
+				if line.float("last_run_events") <= needlessMoveEvents {
+					step.needlessMoves++
 				}
 			}
-			one.done = append(one.done, itemRecord{
-				id: line.text("item"), group: line.text("group"), replica: line.text("replica"), startMs: line.clockMs - line.float("since_ms"), lastEndMs: broken[item],
-				doneMs: line.clockMs, events: int(line.float("events")), lastRunEvents: int(line.float("last_run_events")),
+			step.completed = append(step.completed, itemRecord{
+				id: line.text("item"), group: line.text("group"), replica: line.text("replica"), startMs: line.clockMs - line.float("since_ms"), lastFailureMs: lastFailures[item],
+				completedMs: line.clockMs, events: int(line.float("events")), lastRunEvents: int(line.float("last_run_events")),
 				paceMs: line.float("pace_us") / 1000,
 			})
 		}
@@ -134,74 +134,75 @@
 	})
 }
 
-// since returns a time as a duration after the job's acceptance.
+// since returns the duration from the job's acceptance to a time.
 func (s *stepRecord) since(clockMs float64) time.Duration {
 	return time.Duration((clockMs - s.acceptedMs) * float64(time.Millisecond))
 }
 
-// lastWhole returns when the last item was whole, 0 if none was.
-func (s *stepRecord) lastWhole() time.Duration {
-	if len(s.done) == 0 {
+// lastCompletion returns when the last item completed, 0 if none did.
+func (s *stepRecord) lastCompletion() time.Duration {
+	if len(s.completed) == 0 {
 		return 0
 	}
-	return s.since(s.last().doneMs)
+	return s.since(s.lastCompleted().completedMs)
 }
 
-// last returns the item that was whole last.
-func (s *stepRecord) last() itemRecord {
-	return slices.MaxFunc(s.done, func(a, b itemRecord) int { return cmp.Compare(a.doneMs, b.doneMs) })
+// lastCompleted returns the item that completed last.
+func (s *stepRecord) lastCompleted() itemRecord {
+	return slices.MaxFunc(s.completed, func(a, b itemRecord) int { return cmp.Compare(a.completedMs, b.completedMs) })
 }
 
-// quantile returns a quantile of the items' times, of all items whether whole or not; it is
-// empty if fewer are whole.
-func (s *stepRecord) quantile(part float64, at func(one itemRecord) float64) string {
-	index := int(part * float64(s.items))
-	if index >= len(s.done) {
+// quantile returns a quantile of a time over all items of the job, "-" if too few items have completed.
+func (s *stepRecord) quantile(q float64, at func(item itemRecord) float64) string {
+	index := int(q * float64(s.items))
+	if index >= len(s.completed) {
 		return "-"
 	}
-	times := make([]float64, len(s.done))
-	for i, one := range s.done {
-		times[i] = at(one)
+	times := make([]float64, len(s.completed))
+	for i, item := range s.completed {
+		times[i] = at(item)
 	}
 	slices.Sort(times)
-	return elapsed(s.since(times[index]))
+	return formatDuration(s.since(times[index]))
 }
 
 func (s *stepRecord) write(w io.Writer) {
-	start := func(one itemRecord) float64 { return one.startMs }
-	whole := func(one itemRecord) float64 { return one.doneMs }
-	lastStart, lastWhole, ended := "-", "-", "-"
-	if len(s.done) > 0 {
-		lastWhole = elapsed(s.lastWhole())
-		lastStart = elapsed(s.since(start(slices.MaxFunc(s.done, func(a, b itemRecord) int { return cmp.Compare(start(a), start(b)) }))))
+	start := func(item itemRecord) float64 { return item.startMs }
+	completion := func(item itemRecord) float64 { return item.completedMs }
+	lastStart, lastCompletion, ended := "-", "-", "-"
+	if len(s.completed) > 0 {
+		lastCompletion = formatDuration(s.lastCompletion())
+		lastStart = formatDuration(s.since(start(slices.MaxFunc(s.completed, func(a, b itemRecord) int { return cmp.Compare(start(a), start(b)) }))))
 	}
 	if s.endedMs > 0 {
-		ended = elapsed(s.since(s.endedMs))
+		ended = formatDuration(s.since(s.endedMs))
 	}
-	fmt.Fprintf(w, "%.3f s\t%s\t%s\t%d\t%d of %d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.acceptedMs/1000, s.id, s.model, s.step, len(s.done), s.items,
-		s.quantile(0.5, start), lastStart, s.quantile(0.95, whole), lastWhole, ended, s.owners,
-		s.ends[task.RunRefused], s.ends[task.RunUnreachable], s.ends[task.RunSilent], s.ends[task.RunInterrupted]+s.ends[task.RunFailed], s.ends[task.RunSlow], s.needless, s.cause())
+	fmt.Fprintf(w, "%.3f s\t%s\t%s\t%d\t%d of %d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.acceptedMs/1000, s.id, s.model, s.step, len(s.completed), s.items,
+		s.quantile(0.5, start), lastStart, s.quantile(0.95, completion), lastCompletion, ended, s.ownerChanges,
+		s.runEnds[task.RunRefused], s.runEnds[task.RunUnreachable], s.runEnds[task.RunSilent], s.runEnds[task.RunInterrupted]+s.runEnds[task.RunFailed], s.runEnds[task.RunSlow], s.needlessMoves, s.cause())
 }
 
-// cause tells what the time of the item that was whole last went into.
+// cause describes how the time of the item that completed last was spent.
 func (s *stepRecord) cause() string {
-	if len(s.done) == 0 {
-		return "none is whole"
+	if len(s.completed) == 0 {
+		return "no item completed"
 	}
-	one := s.last()
-	text := one.id
-	if one.group != "" {
-		text += " of group " + one.group
+	item := s.lastCompleted()
+	text := item.id
+	if item.group != "" {
+		text += " of group " + item.group
 	}
-	text += fmt.Sprintf(": waited %s", elapsed(s.since(one.startMs)))
-	lastRun := one.startMs
-	if one.lastEndMs > one.startMs {
-		text += fmt.Sprintf(", %s in runs that ended early", elapsed(time.Duration((one.lastEndMs-one.startMs)*float64(time.Millisecond))))
-		lastRun = one.lastEndMs
+	text += fmt.Sprintf(": waited %s", formatDuration(s.since(item.startMs)))
+	lastRun := item.startMs
+	if item.lastFailureMs > item.startMs {
+		text += fmt.Sprintf(", %s in runs that ended early", formatDuration(time.Duration((item.lastFailureMs-item.startMs)*float64(time.Millisecond))))
+		lastRun = item.lastFailureMs
 	}
 	return text + fmt.Sprintf(", %s for its last %d of %d events at %s (%.0f ms an event)",
-		elapsed(time.Duration((one.doneMs-lastRun)*float64(time.Millisecond))), one.lastRunEvents, one.events, one.replica, one.paceMs)
+		formatDuration(time.Duration((item.completedMs-lastRun)*float64(time.Millisecond))), item.lastRunEvents, item.events, item.replica, item.paceMs)
 }
 
-// elapsed prints a duration to a hundredth of a second.
-func elapsed(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 2, 64) + " s" }
+// formatDuration formats a duration in seconds with two decimals.
+func formatDuration(d time.Duration) string {
+	return strconv.FormatFloat(d.Seconds(), 'f', 2, 64) + " s"
+}
--- a/internal/command/operator/steps_test.go
+++ b/internal/command/operator/steps_test.go
@@ -9,7 +9,7 @@
 	"github.com/doorstep/doorstep/internal/process/event"
 )
 
-// loggedStep is what two nodes log of one job.
+// loggedStep contains the log lines of two nodes for one job.
 const loggedStep = `{"@module":"doorstepd.node-1","@message":"batch job accepted","event":900,"clock_ms":1000,"job":"j","model":"m","step":3,"items":2}
 {"@module":"doorstepd.node-2","@message":"batch job taken over","event":902,"clock_ms":2500,"job":"j"}
 {"@module":"doorstepd.node-2","@message":"item completed","event":915,"clock_ms":3000,"job":"j","item":"a","replica":"r1","since_ms":400,"events":5,"last_run_events":5,"pace_us":80000}
@@ -24,10 +24,10 @@
 		late time.Duration
 		want []string
 	}{
-		{"a step with its critical item", 0, []string{
+		{"step with its last item", 0, []string{
 			"2 of 2", "1.60 s", "8.00 s", "8.50 s", "b: waited 1.60 s, 1.00 s in runs that ended early, 5.40 s for its last 68 of 70 events at r2 (79 ms an event)",
 		}},
-		{"a step that was not late", 9 * time.Second, nil},
+		{"step below the threshold", 9 * time.Second, nil},
 	} {
 		var output bytes.Buffer
 		if err := Steps(&output, c.late, strings.NewReader(loggedStep)); err != nil {
@@ -39,7 +39,7 @@
 		}
 		for _, part := range c.want {
 			if !strings.Contains(rows[1], part) {
-				t.Errorf("%s: %q is not in %q", c.name, part, rows[1])
+				t.Errorf("%s: %q lacks %q", c.name, rows[1], part)
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	for _, id := range ids {
 		if !strings.Contains(output.String(), id) {
-			t.Errorf("no row tells of job %s, which was taken over", id)
+			t.Errorf("no row for job %s, which was taken over", id)
 		}
 	}
 }
--- a/internal/command/simulator/simulator.go
+++ b/internal/command/simulator/simulator.go
@@ -1,4 +1,4 @@
-// Package simulator is the command line of doorstep-sim.
+// Package simulator implements the command line of doorstep-sim.
 package simulator
 
 import (
@@ -28,7 +28,7 @@
 func root() *cli.Command {
 	return &cli.Command{
 		Name:     "doorstep-sim",
-		Usage:    "simulate a deployment of doorstep on a virtual clock, under faults",
+		Usage:    "simulate a doorstep deployment with fault injection on a virtual clock",
 		Commands: []*cli.Command{sweepCommand(), traceCommand(), faultsCommand()},
 	}
 }
@@ -36,29 +36,29 @@
 func sweepCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "sweep",
-		Usage: "play many seeds and list what they break",
+		Usage: "simulate a range of seeds and list invariant violations",
 		Flags: append([]cli.Flag{
 			&cli.StringFlag{Name: "seeds", Usage: "the seeds, as `FIRST..LAST`", Value: "1..64"},
-		}, worldFlags()...),
+		}, simulationFlags()...),
 		Action: runSweep,
 	}
 }
 
-// worldFlags are those that say what is simulated.
-func worldFlags() []cli.Flag {
+// simulationFlags returns the flags that configure the simulated deployment.
+func simulationFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "faults", Usage: "names with commas between, all, or none", Value: "none"},
-		&cli.IntFlag{Name: "nodes", Usage: "how many nodes", Value: 6},
-		&cli.IntFlag{Name: "replicas", Usage: "how many replicas", Value: 5},
-		&cli.BoolFlag{Name: "unfenced", Usage: "replicas check no fences"},
-		&cli.BoolFlag{Name: "resting", Usage: "nodes follow the list of replicas only while they have use for it"},
-		&cli.DurationFlag{Name: "far-region", Usage: "how much longer messages between the two regions are under way, each way"},
-		&cli.DurationFlag{Name: "length", Usage: "how long faults come, in virtual time", Value: 40 * time.Second},
+		&cli.StringFlag{Name: "faults", Usage: "comma-separated fault names, all, or none", Value: "none"},
+		&cli.IntFlag{Name: "nodes", Usage: "number of nodes", Value: 6},
+		&cli.IntFlag{Name: "replicas", Usage: "number of replicas", Value: 5},
+		&cli.BoolFlag{Name: "unfenced", Usage: "disable fence checks in replicas"},
+		&cli.BoolFlag{Name: "resting", Usage: "let nodes watch the list of replicas only while they need it"},
+		&cli.DurationFlag{Name: "far-region", Usage: "additional one-way latency between the two regions"},
+		&cli.DurationFlag{Name: "length", Usage: "duration of fault injection, in virtual time", Value: 40 * time.Second},
 	}
 }
 
-// worldOptions reads the flags of worldFlags.
-func worldOptions(c *cli.Command) (clustersim.Options, error) {
+// simulationOptions returns the options given by simulationFlags.
+func simulationOptions(c *cli.Command) (clustersim.Options, error) {
 	faults, err := clustersim.FindFaults(c.String("faults"))
 	if err != nil {
 		return clustersim.Options{}, command.Fail(command.ExitUsage, err)
@@ -83,8 +83,11 @@
 	}
 }
 
-// sweep is what a sweep over seeds showed.
-type sweep struct {
+var errViolations = errors.New("invariants were violated")
+
+// sweepResult is the combined result of all seeds of a sweep.
+type sweepResult struct {
+	// failed lists the seeds with violations, violations counts seeds by violated invariant.
 	failed     []uint64
 	violations map[string]int
 	results    int
@@ -93,7 +96,7 @@
 }
 
 func runSweep(_ context.Context, c *cli.Command) error {
-	options, err := worldOptions(c)
+	options, err := simulationOptions(c)
 	if err != nil {
 		return err
 	}
@@ -101,60 +104,60 @@
 	if err != nil {
 		return command.Fail(command.ExitUsage, err)
 	}
-	played := playSeeds(c.Root().Writer, first, last, options)
+	result := runSeeds(c.Root().Writer, first, last, options)
 	fmt.Fprintf(c.Root().Writer, "%d seeds: %d of %d jobs accepted, %d results, %d seeds with a violation %v\n",
-		last-first+1, played.accepted, played.jobs, played.results, len(played.failed), played.violations)
-	if len(played.failed) > 0 {
-		return command.Fail(command.ExitFailed, errors.New("a promise was broken"))
+		last-first+1, result.accepted, result.jobs, result.results, len(result.failed), result.violations)
+	if len(result.failed) > 0 {
+		return command.Fail(command.ExitFailed, errViolations)
 	}
 	return nil
 }
 
-// playSeeds plays each seed, a few at a time, and prints the first violation of each.
-func playSeeds(output io.Writer, first, last uint64, options clustersim.Options) sweep {
-	played := sweep{violations: map[string]int{}}
+// runSeeds simulates the seeds concurrently and prints the first violation of each invariant per seed.
+func runSeeds(output io.Writer, first, last uint64, options clustersim.Options) sweepResult {
+	result := sweepResult{violations: map[string]int{}}
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	places := make(chan struct{}, max(runtime.GOMAXPROCS(0)/2, 1))
+	slots := make(chan struct{}, max(runtime.GOMAXPROCS(0)/2, 1))
 	for seed := first; seed <= last; seed++ {
-		places <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			options := options
 			options.Seed = seed
 			report := clustersim.New(options).Run()
 			mu.Lock()
 			defer mu.Unlock()
-			played.results += report.Results
-			played.accepted += report.Accepted
-			played.jobs += report.Jobs
+			result.results += report.Results
+			result.accepted += report.Accepted
+			result.jobs += report.Jobs
 			if len(report.Violations) == 0 {
 				return
 			}
-			played.failed = append(played.failed, seed)
+			result.failed = append(result.failed, seed)
 			seen := map[string]bool{}
 			for _, violation := range report.Violations {
 				if !seen[violation.Invariant] {
 					seen[violation.Invariant] = true
-					played.violations[violation.Invariant]++
+					result.violations[violation.Invariant]++
 					fmt.Fprintf(output, "seed %d: %s\n", seed, violation)
 				}
 			}
 		})
 	}
 	group.Wait()
-	return played
+	return result
 }
 
 func parseSeeds(text string) (uint64, uint64, error) {
 	first, last, found := strings.Cut(text, "..")
 	from, err := strconv.ParseUint(first, 10, 64)
 	if err != nil || !found {
-		return 0, 0, fmt.Errorf("--seeds is %q; allowed is A..B", text)
+		return 0, 0, fmt.Errorf("invalid --seeds %q: must be FIRST..LAST", text)
 	}
 	to, err := strconv.ParseUint(last, 10, 64)
 	if err != nil || to < from {
-		return 0, 0, fmt.Errorf("--seeds is %q; allowed is A..B with B not below A", text)
+		return 0, 0, fmt.Errorf("invalid --seeds %q: must be FIRST..LAST with LAST not less than FIRST", text)
 	}
 	return from, to, nil
 }
--- a/internal/command/simulator/trace.go
+++ b/internal/command/simulator/trace.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"time"
@@ -17,14 +16,14 @@
 func traceCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "trace",
-		Usage:  "play one seed and print what nodes log, which faults come and what is broken, in order",
-		Flags:  append([]cli.Flag{&cli.Uint64Flag{Name: "seed", Usage: "the seed to play", Value: 1}}, worldFlags()...),
+		Usage:  "simulate one seed and print node events, faults and violations in order",
+		Flags:  append([]cli.Flag{&cli.Uint64Flag{Name: "seed", Usage: "the seed to simulate", Value: 1}}, simulationFlags()...),
 		Action: runTrace,
 	}
 }
 
 func runTrace(_ context.Context, c *cli.Command) error {
-	options, err := worldOptions(c)
+	options, err := simulationOptions(c)
 	if err != nil {
 		return err
 	}
@@ -33,14 +32,14 @@
 	options.Log = func(node string, clock time.Duration, number int, fields []any) {
 		printEvent(output, node, clock, number, fields)
 	}
-	options.Trace = func(clock time.Duration, what string) { printTraced(output, clock, "world", what) }
+	options.Trace = func(clock time.Duration, what string) { printTraceLine(output, clock, "world", what) }
 	if report := clustersim.New(options).Run(); len(report.Violations) > 0 {
-		return command.Fail(command.ExitFailed, errors.New("a promise was broken"))
+		return command.Fail(command.ExitFailed, errViolations)
 	}
 	return nil
 }
 
-// printEvent prints what a node logs.
+// printEvent prints an event logged by a node.
 func printEvent(output io.Writer, node string, clock time.Duration, number int, fields []any) {
 	entry, ok := event.Find(number)
 	if !ok {
@@ -50,9 +49,9 @@
 	for i := 0; i+1 < len(fields); i += 2 {
 		what += fmt.Sprintf(" %v=%v", fields[i], fields[i+1])
 	}
-	printTraced(output, clock, node, what)
+	printTraceLine(output, clock, node, what)
 }
 
-func printTraced(output io.Writer, clock time.Duration, source, what string) {
+func printTraceLine(output io.Writer, clock time.Duration, source, what string) {
 	fmt.Fprintf(output, "%10.3f %-8s %s\n", clock.Seconds(), source, what)
 }
--- a/internal/command/simulator/trace_test.go
+++ b/internal/command/simulator/trace_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestTraceTellsFaultsAndEvents: a broken promise can't be traced from its violation alone; the faults and the
-// nodes' events before it are needed, in order.
-func TestTraceTellsFaultsAndEvents(t *testing.T) {
+// TestTraceContainsFaultsAndEvents tests that a trace contains the faults and the nodes' events, which are needed
+// to find the cause of a violation.
+func TestTraceContainsFaultsAndEvents(t *testing.T) {
 	var output bytes.Buffer
 	command := root()
 	command.Writer = &output
--- a/internal/command/standin/deployment.go
+++ b/internal/command/standin/deployment.go
@@ -12,12 +12,12 @@
 	"github.com/doorstep/doorstep/platform/platformtest"
 )
 
-// deploymentCommand serves a platform with its store and replicas.
+// deploymentCommand runs a stand-in platform with its record store and replicas.
 func deploymentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "deployment",
-		Usage: "a platform on loopback: its record store, replicas, a configuration, and the calls that one node at a time makes",
-		Flags: []cli.Flag{listenFlag(), &cli.IntFlag{Name: "replicas", Usage: "replicas of each service", Value: 3}},
+		Usage: "run a stand-in platform on loopback: record store, replicas, configuration, usage and scaling services",
+		Flags: []cli.Flag{listenFlag(), &cli.IntFlag{Name: "replicas", Usage: "number of replicas per service", Value: 3}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			store := platformtest.NewStore()
 			for i := range c.Int("replicas") {
@@ -25,11 +25,11 @@
 					{"plain", platformtest.PlainService, ""}, {"model", platformtest.ModelService, platformtest.Model},
 					{"scorer", platformtest.ScoringService, ""},
 				} {
-					one, err := platformtest.StartReplica(store, fmt.Sprintf("%s-%d", kind.name, i), kind.service, kind.model)
+					replica, err := platformtest.StartReplica(store, fmt.Sprintf("%s-%d", kind.name, i), kind.service, kind.model)
 					if err != nil {
 						return command.Fail(command.ExitFailed, err)
 					}
-					defer one.Stop()
+					defer replica.Stop()
 				}
 			}
 			store.Configure(5, 2000)
@@ -43,14 +43,14 @@
 	}
 }
 
-// sessionCommand does what clients, a trainer and the operator of a deployment do.
+// sessionCommand acts as the clients, a trainer and the operator of a deployment.
 func sessionCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "session",
-		Usage: "use a deployment: requests, a batch job, versions, a configuration; checks what comes",
+		Usage: "send requests, a batch job, versions and a configuration to a deployment and check the results",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "store", Usage: "the record store, as `HOST:PORT`", Required: true},
-			&cli.StringSliceFlag{Name: "node", Usage: "a node that takes requests, as `HOST:PORT`; one for each node", Required: true},
+			&cli.StringSliceFlag{Name: "node", Usage: "a node's request address, as `HOST:PORT`; repeatable", Required: true},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			startedAt := time.Now()
--- a/internal/command/standin/request.go
+++ b/internal/command/standin/request.go
@@ -11,32 +11,32 @@
 	"github.com/doorstep/doorstep/platform/platformtest"
 )
 
-// requestFor bounds a call; trainers' pulls may be held for a while.
-const requestFor = 30 * time.Second
+// requestTimeout allows for long polling by trainers.
+const requestTimeout = 30 * time.Second
 
-// requestCommand makes one call to a node, for scripts.
+// requestCommand sends one request to a node, for use in scripts.
 func requestCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "request",
-		Usage: "make one call to a node and print the answer's body; fails unless it is a success",
+		Usage: "send one request to a node and print the response body; fails unless the status is below 300",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "address", Usage: "the node, as `HOST:PORT`", Required: true},
-			&cli.StringFlag{Name: "method", Usage: "the call's method", Value: "GET"},
-			&cli.StringFlag{Name: "path", Usage: "the call's path and query", Required: true},
-			&cli.StringFlag{Name: "body", Usage: "the call's body"},
-			&cli.StringFlag{Name: "id", Usage: "the request's id; none is sent if it is not given"},
+			&cli.StringFlag{Name: "address", Usage: "the node's address, as `HOST:PORT`", Required: true},
+			&cli.StringFlag{Name: "method", Usage: "the request method", Value: "GET"},
+			&cli.StringFlag{Name: "path", Usage: "the request path and query", Required: true},
+			&cli.StringFlag{Name: "body", Usage: "the request body"},
+			&cli.StringFlag{Name: "id", Usage: "the request ID; omitted by default"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			answer := platformtest.Client{}.Send(ctx, platformtest.Call{
 				Address: c.String("address"), Method: c.String("method"), Path: c.String("path"), ID: c.String("id"),
-				Body: []byte(c.String("body")), Deadline: requestFor,
+				Body: []byte(c.String("body")), Deadline: requestTimeout,
 			})
 			if answer.Err != nil {
 				return command.Fail(command.ExitFailed, answer.Err)
 			}
 			fmt.Fprint(c.Root().Writer, string(answer.Body))
 			if answer.Status >= 300 {
-				return command.Fail(command.ExitFailed, fmt.Errorf("status %d", answer.Status))
+				return command.Fail(command.ExitFailed, fmt.Errorf("request failed with status %d", answer.Status))
 			}
 			return nil
 		},
--- a/internal/command/standin/soak.go
+++ b/internal/command/standin/soak.go
@@ -17,23 +17,22 @@
 	"github.com/doorstep/doorstep/internal/soak"
 )
 
-// errPromise says that a soak saw a promise broken.
-var errPromise = errors.New("a promise was broken")
+var errViolations = errors.New("the soak test found violations")
 
-// soakCommand runs nodes under faults and checks the promises.
+// soakCommand runs nodes as processes under fault injection and checks the service's guarantees.
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run nodes as processes under faults from outside and check the promises",
+		Usage: "run nodes as processes under external fault injection and check the service's guarantees",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "binary", Usage: "the node's `PROGRAM`", Value: "bin/doorstepd"},
-			&cli.StringFlag{Name: "seed", Usage: "`NUMBER` of the schedule; a fresh one if it is not given"},
-			&cli.DurationFlag{Name: "for", Usage: "how long faults are injected", Value: time.Minute},
-			&cli.IntFlag{Name: "nodes", Usage: "nodes", Value: 4},
-			&cli.IntFlag{Name: "replicas", Usage: "replicas of each service", Value: 4},
-			&cli.DurationFlag{Name: "apart", Usage: "spread nodes and replicas over two regions, so far apart each way"},
-			&cli.StringFlag{Name: "dir", Usage: "`FOLDER` for settings and logs; a new one if it is not given"},
-			&cli.BoolFlag{Name: "verbose", Usage: "tell of each fault"},
+			&cli.StringFlag{Name: "binary", Usage: "`PATH` of the doorstepd executable", Value: "bin/doorstepd"},
+			&cli.StringFlag{Name: "seed", Usage: "`NUMBER` that determines the fault schedule; random by default"},
+			&cli.DurationFlag{Name: "for", Usage: "duration of fault injection", Value: time.Minute},
+			&cli.IntFlag{Name: "nodes", Usage: "number of nodes", Value: 4},
+			&cli.IntFlag{Name: "replicas", Usage: "number of replicas per service", Value: 4},
+			&cli.DurationFlag{Name: "apart", Usage: "spread nodes and replicas over two regions with this one-way latency between them"},
+			&cli.StringFlag{Name: "dir", Usage: "`DIR` for settings and logs; a new temporary directory by default"},
+			&cli.BoolFlag{Name: "verbose", Usage: "print each injected fault"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 		},
 		Action: runSoak,
@@ -45,17 +44,17 @@
 	if text := c.String("seed"); text != "" {
 		number, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return fmt.Errorf("seed: %q is no number", text)
+			return fmt.Errorf("invalid --seed %q: must be a number", text)
 		}
 		seed = number
 	}
 	dir := c.String("dir")
 	if dir == "" {
-		made, err := os.MkdirTemp("", "doorstep-soak-")
+		temporary, err := os.MkdirTemp("", "doorstep-soak-")
 		if err != nil {
 			return command.Fail(command.ExitFailed, err)
 		}
-		dir = made
+		dir = temporary
 	}
 	w := c.Root().Writer
 	run := &soak.Soak{
@@ -84,7 +83,7 @@
 		}
 	}
 	if len(report.Violations) > 0 {
-		return command.Fail(command.ExitFailed, errPromise)
+		return command.Fail(command.ExitFailed, errViolations)
 	}
 	return nil
 }
--- a/internal/command/standin/standin.go
+++ b/internal/command/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is the command line of doorstep-standin: stand-ins for the systems
-// outside doorstep, a session that uses nodes, and the soak.
+// Package standin implements the command line of doorstep-standin: stand-ins for external systems, client
+// sessions against nodes, and the soak test.
 package standin
 
 import (
@@ -27,7 +27,7 @@
 func root() *cli.Command {
 	return &cli.Command{
 		Name:     "doorstep-standin",
-		Usage:    "stand-ins for the systems outside doorstep, and what uses nodes",
+		Usage:    "stand-ins for external systems, and test clients",
 		Commands: []*cli.Command{deploymentCommand(), sessionCommand(), requestCommand(), soakCommand()},
 	}
 }
@@ -36,15 +36,15 @@
 	return &cli.StringFlag{Name: "listen", Usage: "host:port to listen on", Required: true}
 }
 
-// serve answers HTTP until the context ends.
+// serve serves HTTP until the context ends.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return command.Fail(command.ExitFailed, err)
 	}
-	one := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
-	context.AfterFunc(ctx, func() { _ = one.Close() })
-	if err := one.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
+	context.AfterFunc(ctx, func() { _ = server.Close() })
+	if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return command.Fail(command.ExitFailed, err)
 	}
 	return nil
