--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -1,5 +1,5 @@
-// Package model holds models of the outside systems, without I/O: the record store and
-// replicas that generate. The simulator and the stand-ins drive the same models.
+// Package model contains I/O-free models of the external systems: the record store and replicas that generate
+// text. The simulator and the stand-ins use the same models.
 package model
 
 import (
@@ -11,17 +11,19 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Generator is a replica that answers items with events and takes version orders.
+// Generator models a replica that generates items and executes version orders.
 type Generator struct {
 	ID string
-	// StartedAt is when this life began, zero for one that doesn't tell.
+	// StartedAt is when this incarnation started, zero if the replica does not report it.
 	StartedAt time.Time
-	Slots     int
-	Pace      time.Duration
-	LoadFor   time.Duration
-	// Versions are the weights that it holds.
+	// Slots is the number of concurrent runs, Pace the time between two events of a run, LoadFor the duration of
+	// a version load.
+	Slots   int
+	Pace    time.Duration
+	LoadFor time.Duration
+	// Versions are the loaded weight versions by model.
 	Versions map[string]int64
-	// Unfenced replicas take orders of any fence.
+	// Unfenced disables the rejection of orders with an old fence.
 	Unfenced bool
 
 	running   int
@@ -32,27 +34,27 @@
 	loadUntil time.Time
 }
 
-// longOneIn is the part of the items, one in so many, whose texts are far longer.
-const longOneIn = 8
+// One in longItemOneIn items has a much longer text.
+const longItemOneIn = 8
 
-// MostItemEvents is the most events that an item's text may have.
+// MostItemEvents is the maximum number of events of an item.
 const MostItemEvents = 120
 
-// ItemEvents is how many events an item's text has: it follows from its id.
+// ItemEvents returns the number of events of an item. It is derived from the ID.
 func ItemEvents(item string) int64 {
 	hash := xxhash.Sum64String(item)
-	if hash%longOneIn == 0 {
-		return 60 + int64(hash/longOneIn%60)
+	if hash%longItemOneIn == 0 {
+		return 60 + int64(hash/longItemOneIn%60)
 	}
 	return 4 + int64(hash%28)
 }
 
-// ItemEvent is the payload of an item's event; a text must hold each once and in order.
+// ItemEvent returns the payload of an event. A complete text contains the payloads of all events in order.
 func ItemEvent(item string, id int64) string { return fmt.Sprintf("%s#%d", item, id) }
 
-// Begin takes a run; false means that it was refused and did not run.
+// Begin starts a run. It returns false if the run is refused.
 func (g *Generator) Begin(now time.Time, model string) bool {
-	g.settle(now)
+	g.finishLoad(now)
 	if g.running >= g.Slots || model != "" && g.loading == model {
 		return false
 	}
@@ -60,43 +62,44 @@
 	return true
 }
 
-// End frees a run's place.
+// End releases the slot of a run.
 func (g *Generator) End() { g.running-- }
 
-// Running returns the runs at the replica.
+// Running returns the number of current runs.
 func (g *Generator) Running() int { return g.running }
 
-// Pausing reports whether runs of a model stand still for a load.
+// Pausing reports whether runs of a model are paused because a version of it is being loaded.
 func (g *Generator) Pausing(now time.Time, model string) bool {
-	g.settle(now)
+	g.finishLoad(now)
 	return g.loading == model
 }
 
-// Version returns the version that makes events now.
+// Version returns the version that currently generates events of a model.
 func (g *Generator) Version(now time.Time, model string) int64 {
-	g.settle(now)
+	g.finishLoad(now)
 	return g.Versions[model]
 }
 
-func (g *Generator) settle(now time.Time) {
+// finishLoad activates a version whose load has completed.
+func (g *Generator) finishLoad(now time.Time) {
 	if g.loading != "" && !now.Before(g.loadUntil) {
 		g.Versions[g.loading] = g.loadTo
 		g.loading = ""
 	}
 }
 
-// Restart returns the generator's next life under its ID: it has the versions that this one had, and
-// knows of no order, fence or run.
+// Restart returns a new incarnation with the same ID. It keeps the loaded versions, but not the sequence number,
+// fence, pending load and runs.
 func (g *Generator) Restart(now time.Time) *Generator {
-	g.settle(now)
+	g.finishLoad(now)
 	return &Generator{
 		ID: g.ID, StartedAt: now.Truncate(time.Millisecond), Slots: g.Slots, Pace: g.Pace, LoadFor: g.LoadFor, Versions: g.Versions, Unfenced: g.Unfenced,
 	}
 }
 
-// Order takes a version order.
+// Order handles a version order.
 func (g *Generator) Order(now time.Time, order port.OrderVersion) port.VersionOrderStatus {
-	g.settle(now)
+	g.finishLoad(now)
 	switch {
 	case order.Replica != g.ID:
 		return port.VersionOrderRefused
@@ -115,9 +118,9 @@
 	return port.VersionOrderAccepted
 }
 
-// Report returns the replica's state.
+// Report returns the state that the replica reports.
 func (g *Generator) Report(now time.Time) port.ReplicaReport {
-	g.settle(now)
+	g.finishLoad(now)
 	versions := map[string]int64{}
 	for model, version := range g.Versions {
 		versions[model] = version
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -11,27 +11,26 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Bounds of the record store, as the platform states them.
+// Limits of the platform's record store.
 const (
-	// RecordBytes bounds a value, TransactionEntries and TransactionBytes a transaction.
+	// RecordBytes is the maximum size of a value. TransactionEntries and TransactionBytes limit a transaction.
 	RecordBytes        = 65536
 	TransactionEntries = 100
 	TransactionBytes   = 1 << 20
-	// RangeRecords bounds a range.
+	// RangeRecords is the maximum number of records returned by a range.
 	RangeRecords = 500
 )
 
-// RecordsOptions configure Records.
+// RecordsOptions configures Records.
 type RecordsOptions struct {
-	// WritesPerSecond and ReadsPerSecond are the budgets; 0 for none.
+	// WritesPerSecond and ReadsPerSecond are rate limits; 0 means unlimited.
 	WritesPerSecond, ReadsPerSecond float64
-	// History is how long changes can be watched back.
+	// History is how long changes are kept for watches; 0 means forever.
 	History time.Duration
 }
 
-// Records is the platform's record store: rows with revisions, conditional
-// transactions, ranges and a watch whose history can be forgotten. It may be used by
-// several goroutines.
+// Records models the platform's record store: records with revisions, conditional transactions, ranges, and
+// watches over a history that can be compacted. It is safe for concurrent use.
 type Records struct {
 	mu       sync.Mutex
 	options  RecordsOptions
@@ -39,13 +38,13 @@
 	revision int64
 	rows     map[port.RecordKey]port.Record
 	history  []change
-	// forgotten is the revision up to which history is gone.
-	forgotten int64
-	writes    *rate.Limiter
-	reads     *rate.Limiter
-	changed   chan struct{}
-	// hushUntil is until when watches hear nothing.
-	hushUntil time.Time
+	// compactedRevision is the latest revision that is no longer in the history.
+	compactedRevision int64
+	writes            *rate.Limiter
+	reads             *rate.Limiter
+	changed           chan struct{}
+	// watchesMutedUntil is the time until which watches receive no changes.
+	watchesMutedUntil time.Time
 }
 
 type change struct {
@@ -65,15 +64,15 @@
 	return r
 }
 
-func (r *Records) answer(now time.Time, status port.RecordStatus) port.RecordResult {
+func (r *Records) result(now time.Time, status port.RecordStatus) port.RecordResult {
 	return port.RecordResult{Status: status, Revision: r.revision, Clock: now.Sub(r.started)}
 }
 
-// Commit carries out a transaction, or none of it.
+// Commit applies a transaction atomically.
 func (r *Records) Commit(now time.Time, transaction port.RecordTransaction) port.RecordResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.writes != nil && !r.writes.AllowN(now, 1) || !allowed(transaction) {
+	if r.writes != nil && !r.writes.AllowN(now, 1) || !withinLimits(transaction) {
 		return port.RecordResult{Status: port.RecordRefused}
 	}
 	conflict := false
@@ -81,7 +80,7 @@
 		conflict = conflict || r.rows[one.RecordKey].Revision != one.Revision
 	}
 	if conflict {
-		result := r.answer(now, port.RecordConflict)
+		result := r.result(now, port.RecordConflict)
 		for _, one := range transaction.Preconditions {
 			if row, ok := r.rows[one.RecordKey]; ok {
 				result.Records = append(result.Records, row)
@@ -100,12 +99,11 @@
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
-	return r.answer(now, port.RecordDone)
+	return r.result(now, port.RecordDone)
 }
 
-// allowed reports whether a transaction is within the bounds: one partition, and not
-// too large.
-func allowed(transaction port.RecordTransaction) bool {
+// withinLimits reports whether a transaction affects a single partition and is within the size limits.
+func withinLimits(transaction port.RecordTransaction) bool {
 	entries := len(transaction.Preconditions) + len(transaction.Puts) + len(transaction.Deletes)
 	size := 0
 	partitions := map[string]bool{}
@@ -133,19 +131,19 @@
 	}
 	r.history = append(r.history, change{record: record, at: now})
 	for r.options.History > 0 && len(r.history) > 0 && now.Sub(r.history[0].at) > r.options.History {
-		r.forgotten = r.history[0].record.Revision
+		r.compactedRevision = r.history[0].record.Revision
 		r.history = r.history[1:]
 	}
 }
 
-// Range reads a partition in the order of its keys.
+// Range returns the records of a partition in key order.
 func (r *Records) Range(now time.Time, query port.RecordRange) port.RecordResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.reads != nil && !r.reads.AllowN(now, 1) {
 		return port.RecordResult{Status: port.RecordRefused}
 	}
-	result := r.answer(now, port.RecordDone)
+	result := r.result(now, port.RecordDone)
 	for key, row := range r.rows {
 		if key.Table == query.Table && key.Partition == query.Partition && key.Key >= query.From && (query.To == "" || key.Key < query.To) {
 			result.Records = append(result.Records, row)
@@ -168,16 +166,16 @@
 	return result
 }
 
-// Changes returns the changes of a table after a revision, and a channel that is closed
-// at the next change of anything.
+// Changes returns the changes of a table after a revision, and a channel that is closed at the next change of any
+// table.
 func (r *Records) Changes(now time.Time, table string, after int64) (port.RecordResult, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if after < r.forgotten {
+	if after < r.compactedRevision {
 		return port.RecordResult{Status: port.RecordCompacted}, r.changed
 	}
-	result := r.answer(now, port.RecordDone)
-	if now.Before(r.hushUntil) {
+	result := r.result(now, port.RecordDone)
+	if now.Before(r.watchesMutedUntil) {
 		result.Revision = after
 		return result, r.changed
 	}
@@ -189,24 +187,24 @@
 	return result, r.changed
 }
 
-// Forget drops the history; watches hear nothing until then.
+// Forget compacts the entire history, which ends watches from earlier revisions.
 func (r *Records) Forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgotten = r.revision
+	r.compactedRevision = r.revision
 	r.history = nil
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Hush makes watches hear nothing until then, while changes are made.
+// Hush withholds changes from watches until the given time. Writes proceed normally.
 func (r *Records) Hush(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hushUntil = until
+	r.watchesMutedUntil = until
 }
 
-// All returns every record as it stands, in no order.
+// All returns all current records in no particular order.
 func (r *Records) All() []port.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
