--- a/cmd/doorstep-compare/main.go
+++ b/cmd/doorstep-compare/main.go
@@ -1,5 +1,4 @@
-// Command doorstep-compare plays trees of this repository against each other on the
-// users' bench.
+// Command doorstep-compare compares source trees of this repository on the users' benchmark.
 package main
 
 import (
--- a/cmd/doorstep-sim/main.go
+++ b/cmd/doorstep-sim/main.go
@@ -1,4 +1,4 @@
-// Command doorstep-sim simulates whole installations of doorstep under faults.
+// Command doorstep-sim simulates doorstep deployments under fault injection.
 package main
 
 import (
--- a/cmd/doorstep-standin/main.go
+++ b/cmd/doorstep-standin/main.go
@@ -1,4 +1,4 @@
-// Command doorstep-standin runs stand-ins for the systems outside doorstep.
+// Command doorstep-standin runs stand-ins for the external systems that doorstep uses, and test clients.
 package main
 
 import (
--- a/cmd/doorstep/main.go
+++ b/cmd/doorstep/main.go
@@ -1,4 +1,4 @@
-// Command doorstep is the operators' command line.
+// Command doorstep is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/doorstepd/main.go
+++ b/cmd/doorstepd/main.go
@@ -1,4 +1,4 @@
-// Command doorstepd is one node of doorstep.
+// Command doorstepd runs a node of the doorstep rollout service.
 package main
 
 import (
