--- a/internal/command/standin/soak.go
+++ b/internal/command/standin/soak.go
@@ -58,9 +58,9 @@
 	}
 	w := c.Root().Writer
 	run := &soak.Soak{
-		Binary: c.String("binary"), Dir: dir, Seed: seed, For: c.Duration("for"), NodeCount: c.Int("nodes"), ReplicaCount: c.Int("replicas"),
-		Apart: c.Duration("apart"),
-		Say: func(format string, values ...any) {
+		Binary: c.String("binary"), Dir: dir, Seed: seed, Duration: c.Duration("for"), NodeCount: c.Int("nodes"), ReplicaCount: c.Int("replicas"),
+		RegionLatency: c.Duration("apart"),
+		Logf: func(format string, values ...any) {
 			if c.Bool("verbose") {
 				fmt.Fprintf(w, format+"\n", values...)
 			}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -13,25 +13,24 @@
 	"github.com/doorstep/doorstep/platform/platformtest"
 )
 
-// Checker holds what callers and replicas saw against what is promised. It may be used
-// by several goroutines.
+// Checker compares the observations of clients and replicas with the guarantees. It is safe for concurrent use.
 type Checker struct {
-	mu         sync.Mutex
-	violations []string
-	runs       map[string]int
-	notRun     map[string]string
-	atMostOnce map[string]bool
-	refused    map[string]string
-	jobs       map[string]*jobRecord
-	fences     map[int64]string
-	counts     map[string]int
-	crash      crashRecord
-	// whole holds the items whose last event was made, failed counts failures by request.
-	whole  map[string]bool
-	failed map[string]int
+	mu            sync.Mutex
+	violations    []string
+	runs          map[string]int
+	notRun        map[string]string
+	nonIdempotent map[string]bool
+	refused       map[string]string
+	jobs          map[string]*jobRecord
+	fences        map[int64]string
+	counts        map[string]int
+	crash         crashRecord
+	// completedItems holds the items whose last event was generated, failed the number of failures by request.
+	completedItems map[string]bool
+	failed         map[string]int
 }
 
-// jobRecord is what is known of a job whose acceptance was told.
+// jobRecord holds the observations of an accepted job.
 type jobRecord struct {
 	job        platformtest.Job
 	acceptedAt time.Time
@@ -40,23 +39,23 @@
 	ended      bool
 }
 
-// NewChecker returns a checker that saw nothing.
+// NewChecker returns a checker without observations.
 func NewChecker() *Checker {
 	return &Checker{
-		runs: map[string]int{}, notRun: map[string]string{}, atMostOnce: map[string]bool{}, refused: map[string]string{},
+		runs: map[string]int{}, notRun: map[string]string{}, nonIdempotent: map[string]bool{}, refused: map[string]string{},
 		jobs: map[string]*jobRecord{}, fences: map[int64]string{}, counts: map[string]int{},
-		whole: map[string]bool{}, failed: map[string]int{},
+		completedItems: map[string]bool{}, failed: map[string]int{},
 	}
 }
 
-// Violations returns the broken promises.
+// Violations returns the violated guarantees.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// Counts returns how often each thing was seen.
+// Counts returns the number of observations by name.
 func (c *Checker) Counts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,103 +66,102 @@
 	return counts
 }
 
-// Count adds one to a thing seen.
-func (c *Checker) Count(name string) {
+// Increment adds one to a counter.
+func (c *Checker) Increment(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[name]++
 }
 
-// Add notes that a thing was seen so many times.
+// Add adds a number to a counter.
 func (c *Checker) Add(name string, times int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[name] += times
 }
 
-// Head takes the head of a request that runs at a replica: it names the callers' tenant and
-// holds no key.
-func (c *Checker) Head(id string, header http.Header) {
+// CheckHeader checks that a request at a replica names the tenant and does not contain the API key.
+func (c *Checker) CheckHeader(id string, header http.Header) {
 	if got := header.Get("X-Tenant"); got != tenant {
-		c.Violate("request %s runs for tenant %q", id, got)
+		c.AddViolation("request %s ran with tenant %q", id, got)
 	}
 	if header.Get("Authorization") != "" {
-		c.Violate("the key of request %s was passed on", id)
+		c.AddViolation("the API key of request %s was forwarded", id)
 	}
 }
 
-// Violate notes a broken promise.
-func (c *Checker) Violate(format string, values ...any) {
+// AddViolation records a violated guarantee.
+func (c *Checker) AddViolation(format string, values ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violate(format, values...)
+	c.addViolation(format, values...)
 }
 
-func (c *Checker) violate(format string, values ...any) {
+func (c *Checker) addViolation(format string, values ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, values...))
 }
 
-// Ran takes a request that a replica runs.
-func (c *Checker) Ran(replica, id string) {
+// RecordRun records that a replica runs a request.
+func (c *Checker) RecordRun(replica, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[id]++
 	if item, scoring := platformtest.ScoredItem(id); scoring {
 		c.counts["scoring calls"]++
-		if !c.whole[item] {
-			c.violate("item %s is scored at %s before its text is whole", item, replica)
+		if !c.completedItems[item] {
+			c.addViolation("item %s was scored on %s before its text was complete", item, replica)
 		}
 	}
-	if c.atMostOnce[id] && c.runs[id] > 1 {
-		c.violate("request %s, which is unsafe to repeat, ran %d times, last at %s", id, c.runs[id], replica)
+	if c.nonIdempotent[id] && c.runs[id] > 1 {
+		c.addViolation("non-idempotent request %s ran %d times, last on %s", id, c.runs[id], replica)
 	}
 	if reason := c.notRun[id]; reason != "" {
-		c.violate("request %s ran at %s after it was answered %s", id, replica, reason)
+		c.addViolation("request %s ran on %s after it was refused with status %s", id, replica, reason)
 	}
 	for job, reason := range c.refused {
 		if len(id) > len(job) && id[:len(job)] == job && id[len(job)] == '-' {
-			c.violate("item %s ran at %s though its job was answered %s", id, replica, reason)
+			c.addViolation("item %s ran on %s although its job was refused with status %s", id, replica, reason)
 		}
 	}
 }
 
-// MadeWhole takes an item whose last event a replica makes.
-func (c *Checker) MadeWhole(item string) {
+// RecordCompletedItem records that a replica generates the last event of an item.
+func (c *Checker) RecordCompletedItem(item string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.whole[item] = true
+	c.completedItems[item] = true
 }
 
-// Failed takes a request that a replica answers with a failure.
-func (c *Checker) Failed(id string) {
+// RecordFailure records that a replica responds to a request with an error.
+func (c *Checker) RecordFailure(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failed[id]++
 }
 
-// Ordered takes a version order that a replica took, and the version that it had before.
-func (c *Checker) Ordered(order port.OrderVersion, before int64) {
+// RecordOrder records a version order that a replica accepted, and the version before it.
+func (c *Checker) RecordOrder(order port.OrderVersion, before int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["orders"]++
 	if holder := c.fences[order.Fence]; holder != "" && holder != order.Holder {
-		c.violate("fence %d was used by %s and by %s", order.Fence, holder, order.Holder)
+		c.addViolation("fence %d was used by %s and by %s", order.Fence, holder, order.Holder)
 	}
 	c.fences[order.Fence] = order.Holder
 	if order.Version < before {
-		c.violate("%s goes back from version %d to %d by an order of %s at count %d", order.Replica, before, order.Version, order.Holder, order.ExpectedSequence)
+		c.addViolation("%s was ordered back from version %d to %d by %s with sequence %d", order.Replica, before, order.Version, order.Holder, order.ExpectedSequence)
 	}
 }
 
-// AtMostOnce notes a request that is unsafe to repeat, before it is sent.
-func (c *Checker) AtMostOnce(id string) {
+// MarkNonIdempotent marks a request as non-idempotent. It must be called before the request is sent.
+func (c *Checker) MarkNonIdempotent(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.atMostOnce[id] = true
+	c.nonIdempotent[id] = true
 }
 
-// Answered takes the answer to a plain request and the body that it should have.
-func (c *Checker) Answered(id, want string, answer platformtest.Answer) {
+// RecordAnswer records the response to a plain request and the expected body.
+func (c *Checker) RecordAnswer(id, want string, answer platformtest.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.Err != nil {
@@ -172,41 +170,41 @@
 	}
 	c.counts[fmt.Sprint("status ", answer.Status)]++
 	if answer.Status == 200 && (!answer.Stamped() || string(answer.Body) != want) {
-		c.violate("request %s was answered %q (signed %t), not %q", id, answer.Body, answer.Stamped(), want)
+		c.addViolation("request %s: got body %q (signed %t), want %q", id, answer.Body, answer.Stamped(), want)
 	}
 	c.checkNotRun(id, answer)
 }
 
-// checkNotRun holds a promise that a request did not run against the replicas' runs.
+// checkNotRun checks that a non-idempotent request that was reported as not run did not run.
 func (c *Checker) checkNotRun(id string, answer platformtest.Answer) {
-	if !answer.NotRun() || !c.atMostOnce[id] {
+	if !answer.NotRun() || !c.nonIdempotent[id] {
 		return
 	}
 	c.notRun[id] = fmt.Sprint(answer.Status)
 	if c.runs[id] > 0 {
-		c.violate("request %s ran and was answered %d", id, answer.Status)
+		c.addViolation("request %s ran but was refused with status %d", id, answer.Status)
 	}
 }
 
-// Streamed takes a stream that came to its proper end.
-func (c *Checker) Streamed(id string, answer platformtest.Answer) {
+// RecordStream records a stream that ended normally.
+func (c *Checker) RecordStream(id string, answer platformtest.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["streams"]++
 	if want := model.ItemEvents(id); int64(len(answer.Events())) != want {
-		c.violate("stream %s ended whole with %d of %d events", id, len(answer.Events()), want)
+		c.addViolation("stream %s ended normally after %d of %d events", id, len(answer.Events()), want)
 	}
 	for i, event := range answer.Events() {
 		text, _, _ := strings.Cut(event, "@")
 		if text != model.ItemEvent(id, int64(i+1)) {
-			c.violate("stream %s has %q as event %d", id, event, i+1)
+			c.addViolation("stream %s contains %q as event %d", id, event, i+1)
 			return
 		}
 	}
 }
 
-// Accepted notes a job that was answered as taken.
-func (c *Checker) Accepted(job platformtest.Job, at time.Time) {
+// RecordAccepted records that a job was accepted.
+func (c *Checker) RecordAccepted(job platformtest.Job, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["jobs accepted"]++
@@ -215,87 +213,86 @@
 	}
 }
 
-// Refused notes a job whose every try was answered that none of it runs.
-func (c *Checker) Refused(job platformtest.Job, status int) {
+// RecordRefused records that every attempt to submit a job was refused as not run.
+func (c *Checker) RecordRefused(job platformtest.Job, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["jobs refused"]++
 	c.refused[job.ID] = fmt.Sprint(status)
 	for i := range job.Items {
 		if c.runs[job.ItemID(i)] > 0 {
-			c.violate("item %s ran though its job was answered %d at every try", job.ItemID(i), status)
+			c.addViolation("item %s ran although every attempt to submit its job was refused, last with status %d", job.ItemID(i), status)
 		}
 	}
 }
 
-// Ended notes a job whose end was acknowledged.
-func (c *Checker) Ended(job string) {
+// RecordEnded records that the end of a job was acknowledged.
+func (c *Checker) RecordEnded(job string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known := c.jobs[job]; known != nil {
-		known.ended = true
+	if record := c.jobs[job]; record != nil {
+		record.ended = true
 	}
 }
 
-// Read takes results that were read from a position on.
-func (c *Checker) Read(job string, from int, reading platformtest.Reading) {
+// RecordRead records results that were read from a position on.
+func (c *Checker) RecordRead(job string, from int, reading platformtest.Reading) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.jobs[job]
-	if known == nil {
+	record := c.jobs[job]
+	if record == nil {
 		return
 	}
-	if reading.Total != known.job.Items {
-		c.violate("job %s has %d items, a read says %d", job, known.job.Items, reading.Total)
+	if reading.Total != record.job.Items {
+		c.addViolation("job %s has %d items, but the response reports %d", job, record.job.Items, reading.Total)
 	}
 	for i, result := range reading.Results {
-		c.readOne(known, from+i, result)
+		c.recordResult(record, from+i, result)
 	}
 }
 
-func (c *Checker) readOne(known *jobRecord, position int, result platformtest.Result) {
-	if position < len(known.results) {
-		if had := known.results[position]; had.ID != result.ID || had.State != result.State || had.Message != result.Message || had.Score != result.Score {
-			c.violate("job %s: position %d held %s (%s) and holds %s (%s)", known.job.ID, position, had.ID, had.State, result.ID, result.State)
+func (c *Checker) recordResult(record *jobRecord, position int, result platformtest.Result) {
+	if position < len(record.results) {
+		if had := record.results[position]; had.ID != result.ID || had.State != result.State || had.Message != result.Message || had.Score != result.Score {
+			c.addViolation("job %s: position %d changed from %s (%s) to %s (%s)", record.job.ID, position, had.ID, had.State, result.ID, result.State)
 		}
 		return
 	}
-	if position > len(known.results) {
+	if position > len(record.results) {
 		return
 	}
-	if at, listed := known.indexOf[result.ID]; listed {
-		c.violate("job %s: item %s stands at positions %d and %d", known.job.ID, result.ID, at, position)
+	if at, listed := record.indexOf[result.ID]; listed {
+		c.addViolation("job %s: item %s is listed at positions %d and %d", record.job.ID, result.ID, at, position)
 	}
-	known.results = append(known.results, result)
-	known.indexOf[result.ID] = position
+	record.results = append(record.results, result)
+	record.indexOf[result.ID] = position
 	c.counts["results"]++
-	c.checkResult(known, result)
+	c.checkResult(record, result)
 }
 
-// checkResult holds a result's text and versions against what its events say of
-// themselves.
-func (c *Checker) checkResult(known *jobRecord, result platformtest.Result) {
+// checkResult checks the text, versions and score of a result.
+func (c *Checker) checkResult(record *jobRecord, result platformtest.Result) {
 	if result.State != platformtest.Completed {
-		if !known.ended && c.failed[platformtest.ScoringID(result.ID)] < platformtest.ScoringAttempts {
-			c.violate("job %s: item %s was given up", known.job.ID, result.ID)
+		if !record.ended && c.failed[platformtest.ScoringID(result.ID)] < platformtest.ScoringAttempts {
+			c.addViolation("job %s: item %s was terminated without a reason", record.job.ID, result.ID)
 		}
 		return
 	}
-	versions, err := versionsOf(result)
+	versions, err := eventVersions(result)
 	if err != nil {
-		c.violate("job %s: item %s: %s", known.job.ID, result.ID, err)
+		c.addViolation("job %s: item %s: %s", record.job.ID, result.ID, err)
 		return
 	}
-	told := slices.Clone(result.Versions)
-	slices.Sort(told)
-	if !slices.Equal(told, versions) {
-		c.violate("job %s: item %s was made by versions %v and names %v", known.job.ID, result.ID, versions, told)
+	reported := slices.Clone(result.Versions)
+	slices.Sort(reported)
+	if !slices.Equal(reported, versions) {
+		c.addViolation("job %s: item %s was generated by versions %v but reports %v", record.job.ID, result.ID, versions, reported)
 	}
-	if known.job.Scored && !result.Scored() {
-		c.violate("job %s: item %s has the score %q", known.job.ID, result.ID, result.Score)
+	if record.job.Scored && !result.Scored() {
+		c.addViolation("job %s: item %s has the wrong score %q", record.job.ID, result.ID, result.Score)
 	}
-	if versions[0] < known.job.MinVersion {
-		c.violate("job %s: item %s was made by version %d, below %d", known.job.ID, result.ID, versions[0], known.job.MinVersion)
+	if versions[0] < record.job.MinVersion {
+		c.addViolation("job %s: item %s was generated by version %d, below the minimum %d", record.job.ID, result.ID, versions[0], record.job.MinVersion)
 	}
 }
 
@@ -306,39 +303,39 @@
 	return c.runs[id] > 0
 }
 
-// Listed reports whether an item of a job was read as listed.
-func (c *Checker) Listed(job, item string) bool {
+// IsListed reports whether an item was read as listed, or its job has ended.
+func (c *Checker) IsListed(job, item string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.jobs[job]
-	if known == nil {
+	record := c.jobs[job]
+	if record == nil {
 		return false
 	}
-	_, listed := known.indexOf[item]
-	return listed || known.ended
+	_, listed := record.indexOf[item]
+	return listed || record.ended
 }
 
-// Missing returns the jobs that were accepted before a time, lack results and were not ended.
-func (c *Checker) Missing(before time.Time) []string {
+// IncompleteJobs returns the jobs accepted before a time that lack results and have not ended.
+func (c *Checker) IncompleteJobs(before time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []string
-	for id, known := range c.jobs {
-		if known.acceptedAt.Before(before) && !known.ended && len(known.results) < known.job.Items {
-			list = append(list, fmt.Sprintf("%s (%d of %d)", id, len(known.results), known.job.Items))
+	for id, record := range c.jobs {
+		if record.acceptedAt.Before(before) && !record.ended && len(record.results) < record.job.Items {
+			list = append(list, fmt.Sprintf("%s (%d of %d)", id, len(record.results), record.job.Items))
 		}
 	}
 	slices.Sort(list)
 	return list
 }
 
-// CheckWhole holds the jobs against the time in which they must be whole: it counts from
-// their acceptance, or from the end of the last fault if that is later.
-func (c *Checker) CheckWhole(now, healedAt time.Time, within time.Duration) {
-	if now.Sub(healedAt) < within {
+// CheckCompletion records a violation for each job that is incomplete although the allowed time has passed
+// since its acceptance and since the last fault.
+func (c *Checker) CheckCompletion(now, clearedAt time.Time, within time.Duration) {
+	if now.Sub(clearedAt) < within {
 		return
 	}
-	for _, job := range c.Missing(now.Add(-within)) {
-		c.Violate("job %s is not whole %s after its acceptance and the last fault", job, within)
+	for _, job := range c.IncompleteJobs(now.Add(-within)) {
+		c.AddViolation("job %s is incomplete %s after its acceptance and the last fault", job, within)
 	}
 }
--- a/internal/soak/cold.go
+++ b/internal/soak/cold.go
@@ -11,87 +11,89 @@
 )
 
 const (
-	// coldLasts is how long a replica is cold after its start, coldPerSecond what it bears meanwhile;
-	// with the settings of the nodes it may get coldMost requests in any second.
-	coldLasts = 2 * time.Second
-	// It is some more than the items that each replica gets, as token buckets hold warm ones to it.
-	coldPerSecond = 40.0
-	coldMost      = 65
-	// coldSpan is over what time requests are counted: arrivals lie closer together than the sends do
-	// on a busy machine, and links that were harmed are passed over for linkSettles.
-	coldSpan    = 800 * time.Millisecond
-	linkSettles = 3 * time.Second
-	// coldPause is the mean pause between two replicas that turn cold without a restart.
-	coldPause = 4 * time.Second
+	// coldDuration is how long a replica is cold after its start.
+	coldDuration = 2 * time.Second
+	// coldRequestRate is the number of requests per second that a cold replica accepts, maxColdRequests the
+	// maximum that nodes may send within a second with their settings. The rate exceeds the normal load of a
+	// replica, because the nodes' token buckets apply it to warm replicas as well.
+	coldRequestRate = 40.0
+	maxColdRequests = 65
+	// coldCountWindow is the window in which requests are counted. It is shorter than a second because
+	// requests may arrive closer together than they were sent. Requests within linkSettleTime after a link
+	// fault are not counted.
+	coldCountWindow = 800 * time.Millisecond
+	linkSettleTime  = 3 * time.Second
+	// meanColdPause is the mean pause between two replicas becoming cold without a restart.
+	meanColdPause = 4 * time.Second
 )
 
-// coldServices has cold replicas of all services bear little.
-func coldServices(content []byte) []byte {
-	return platformtest.WithCold(content, coldPerSecond, coldLasts)
+// withColdLimits limits the request rate of cold replicas in a configuration.
+func withColdLimits(content []byte) []byte {
+	return platformtest.WithCold(content, coldRequestRate, coldDuration)
 }
 
-// coldFor returns how long a replica is cold that starts now: the first ones start before there is
-// traffic.
-func (s *Soak) coldFor() time.Duration {
+// coldDurationAtStart returns how long a new replica is cold. Initial replicas are warm because they start
+// before there is load.
+func (s *Soak) coldDurationAtStart() time.Duration {
 	if len(s.nodes) == 0 {
 		return 0
 	}
-	return coldLasts
+	return coldDuration
 }
 
-// turnCold makes a replica cold now and then, or all of a service.
-func (s *Soak) turnCold(ctx context.Context) {
-	random := s.random(700)
+// makeReplicasCold repeatedly makes a replica cold, or all replicas of a service.
+func (s *Soak) makeReplicasCold(ctx context.Context) {
+	random := s.newRand(700)
 	for ctx.Err() == nil {
-		pause(ctx, random, coldPause)
+		sleepRandom(ctx, random, meanColdPause)
 		victim, all := s.replicaAt(random.IntN(1<<20)), random.IntN(4) == 0
 		if victim == nil {
 			continue
 		}
 		s.mu.Lock()
-		turning := []*replica{victim}
+		affected := []*replica{victim}
 		if all {
-			turning = slices.DeleteFunc(slices.Clone(s.replicas), func(r *replica) bool { return r.Service != victim.Service })
+			affected = slices.DeleteFunc(slices.Clone(s.replicas), func(r *replica) bool { return r.Service != victim.Service })
 		}
 		s.mu.Unlock()
-		for _, r := range turning {
-			s.check.Count("replicas turned cold")
-			r.TurnCold(coldLasts)
+		for _, r := range affected {
+			s.checker.Increment("replicas turned cold")
+			r.TurnCold(coldDuration)
 		}
 	}
 }
 
-// coldReplica counts what a replica gets while it is cold.
+// coldReplica counts the requests that a replica receives while it is cold.
 type coldReplica struct {
 	id       string
 	link     *Proxy
-	of       atomic.Pointer[platformtest.Replica]
+	replica  atomic.Pointer[platformtest.Replica]
 	mu       sync.Mutex
 	arrivals []time.Time
 }
 
-// arrived notes a request, and returns how many came within coldSpan.
-func (r *coldReplica) arrived(now time.Time) int {
+// recordArrival records a request and returns the number of requests within coldCountWindow.
+func (r *coldReplica) recordArrival(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if of := r.of.Load(); of == nil || !of.Cold() || !r.link.Steady(linkSettles) {
+	if started := r.replica.Load(); started == nil || !started.Cold() || !r.link.Steady(linkSettleTime) {
 		r.arrivals = nil
 		return 0
 	}
-	r.arrivals = slices.DeleteFunc(append(r.arrivals, now), func(at time.Time) bool { return now.Sub(at) > coldSpan })
+	r.arrivals = slices.DeleteFunc(append(r.arrivals, now), func(at time.Time) bool { return now.Sub(at) > coldCountWindow })
 	return len(r.arrivals)
 }
 
-// coldArrived checks a request that reaches a replica, whether it runs or not.
-func (c *Checker) coldArrived(r *coldReplica) {
-	count := r.arrived(time.Now())
+// RecordColdArrival checks the rate of requests that reach a cold replica, whether or not they run.
+func (c *Checker) RecordColdArrival(r *coldReplica) {
+	count := r.recordArrival(time.Now())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if count > 0 {
 		c.counts["requests at cold replicas"]++
 		c.counts["most requests at a cold replica"] = max(c.counts["most requests at a cold replica"], count)
 	}
-	if count > coldMost {
-		c.violate("replica %s got %d requests within %s while it was cold", r.id, count, coldSpan)
+	if count > maxColdRequests {
+		c.addViolation("replica %s received %d requests within %s while it was cold", r.id, count, coldCountWindow)
 	}
 }
--- a/internal/soak/cold_test.go
+++ b/internal/soak/cold_test.go
@@ -7,39 +7,39 @@
 	"github.com/doorstep/doorstep/platform/platformtest"
 )
 
-// TestColdRushesAreTold shows the checker replicas that get more than a cold one bears.
-func TestColdRushesAreTold(t *testing.T) {
+// TestCheckerLimitsColdRequests tests that requests above the limit of a cold replica are reported.
+func TestCheckerLimitsColdRequests(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		cold, harmed bool
-		requests     int
-		broken       string
+		name            string
+		cold, disrupted bool
+		requests        int
+		broken          string
 	}{
-		{"a rush", true, false, coldMost + 1, "while it was cold"},
-		{"as many as it bears", true, false, coldMost, ""},
-		{"a warm one", false, false, coldMost + 1, ""},
-		{"over a link that was harmed", true, true, coldMost + 1, ""},
+		{"more than the limit", true, false, maxColdRequests + 1, "while it was cold"},
+		{"exactly the limit", true, false, maxColdRequests, ""},
+		{"warm replica", false, false, maxColdRequests + 1, ""},
+		{"recently disrupted link", true, true, maxColdRequests + 1, ""},
 	} {
-		of, err := platformtest.StartReplicaConfig(platformtest.NewStore(), platformtest.ReplicaConfig{ID: "r", Service: "s"})
+		started, err := platformtest.StartReplicaConfig(platformtest.NewStore(), platformtest.ReplicaConfig{ID: "r", Service: "s"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer of.Stop()
+		defer started.Stop()
 		if c.cold {
-			of.TurnCold(coldLasts)
+			started.TurnCold(coldDuration)
 		}
 		replica := &coldReplica{id: "r", link: &Proxy{}}
-		replica.of.Store(of)
-		if c.harmed {
+		replica.replica.Store(started)
+		if c.disrupted {
 			replica.link.SetDelay(0)
 		}
 		checker := NewChecker()
 		for range c.requests {
-			checker.coldArrived(replica)
+			checker.RecordColdArrival(replica)
 		}
 		seen := strings.Join(checker.Violations(), "; ")
 		if c.broken == "" && seen != "" || c.broken != "" && !strings.Contains(seen, c.broken) {
-			t.Errorf("%s: saw %q, should see %q", c.name, seen, c.broken)
+			t.Errorf("%s: got violations %q, want %q", c.name, seen, c.broken)
 		}
 	}
 }
--- a/internal/soak/drain.go
+++ b/internal/soak/drain.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// drainWithin is how soon nodes in touch send nothing more to a leaving replica.
-	drainWithin = 2 * time.Second
-	drainSlack  = 500 * time.Millisecond
-	// lingerFor is how long a drained replica goes on serving.
-	lingerFor = 4 * time.Second
+	// maxDrainDelay is the maximum time until undisturbed nodes stop sending to a draining replica, drainSlack a
+	// tolerance for the check.
+	maxDrainDelay = 2 * time.Second
+	drainSlack    = 500 * time.Millisecond
+	// lingerDuration is how long a removed replica keeps running.
+	lingerDuration = 4 * time.Second
 )
 
-// replace takes a replica away, with a word before or without, and starts another.
-func (s *Soak) replace(r *replica, drained bool) {
+// replaceReplica starts a new replica and removes the old one, either drained or without notice.
+func (s *Soak) replaceReplica(r *replica, drained bool) {
 	s.mu.Lock()
 	at := slices.Index(s.replicas, r)
 	if at >= 0 {
@@ -26,36 +27,36 @@
 		return
 	}
 	if err := s.addReplica(r.Service, r.Model); err != nil {
-		s.check.Violate("no replica can be started: %s", err)
+		s.checker.AddViolation("starting a replica: %s", err)
 	}
 	if drained {
 		s.drain(r)
 	} else {
 		r.link.SetMode(LinkSilent)
-		time.Sleep(lingerFor)
+		time.Sleep(lingerDuration)
 	}
 	r.Stop()
 	r.link.Close()
 	s.store.Remove("servers", r.ID)
 }
 
-// drain announces that a replica leaves, and holds what it runs afterwards against the
-// bound if nothing disturbed the nodes.
+// drain drains a replica and checks that it receives no requests after maxDrainDelay, provided that no fault
+// affected the nodes.
 func (s *Soak) drain(r *replica) {
-	calm := s.calmFor() > inTouch
+	undisturbed := s.undisturbedFor() > minUndisturbed
 	r.Drain()
-	time.Sleep(drainWithin + drainSlack)
+	time.Sleep(maxDrainDelay + drainSlack)
 	before := r.Taken()
-	time.Sleep(lingerFor)
-	if late := r.Taken() - before; late > 0 && calm && s.calmFor() > inTouch+drainWithin+drainSlack+lingerFor {
-		s.check.Violate("replica %s got %d requests later than %s after it said that it leaves", r.ID, late, drainWithin+drainSlack)
+	time.Sleep(lingerDuration)
+	if late := r.Taken() - before; late > 0 && undisturbed && s.undisturbedFor() > minUndisturbed+maxDrainDelay+drainSlack+lingerDuration {
+		s.checker.AddViolation("replica %s received %d requests more than %s after it started draining", r.ID, late, maxDrainDelay+drainSlack)
 	}
 }
 
-// drainEach drains a replica of each service once nothing has disturbed the nodes for a
-// while: between faults the calm is too short to hold a drain against its bound.
-func (s *Soak) drainEach() {
-	time.Sleep(max(inTouch+time.Second-s.calmFor(), 0))
+// drainOnePerService drains a replica of each service when no faults are active. The pauses between faults
+// are too short to check the drain delay.
+func (s *Soak) drainOnePerService() {
+	time.Sleep(max(minUndisturbed+time.Second-s.undisturbedFor(), 0))
 	s.mu.Lock()
 	leaving := map[string]*replica{}
 	for _, r := range s.replicas {
@@ -64,7 +65,7 @@
 	s.mu.Unlock()
 	var drains sync.WaitGroup
 	for _, r := range leaving {
-		drains.Go(func() { s.replace(r, true) })
+		drains.Go(func() { s.replaceReplica(r, true) })
 	}
 	drains.Wait()
 }
--- a/internal/soak/evacuation.go
+++ b/internal/soak/evacuation.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// zones are those of nodes and replicas, in turn.
+// zones are the zones to which nodes and replicas are assigned.
 var zones = []string{"zone-a", "zone-b"}
 
 const (
-	// evacuateWithin is how soon nodes in touch send nothing more to the replicas of an evacuated
-	// zone.
-	evacuateWithin = drainWithin + drainSlack
-	// evacuationPause is the mean pause between two evacuations of a zone, evacuatedMost bounds one.
-	evacuationPause = 6 * time.Second
-	evacuatedMost   = 6 * time.Second
-	// evacuatedInCalm is for how long a zone is evacuated in the calm at the end.
-	evacuatedInCalm = evacuateWithin + 3*time.Second
+	// maxEvacuationDelay is the maximum time until undisturbed nodes stop sending to the replicas of an
+	// evacuated zone.
+	maxEvacuationDelay = maxDrainDelay + drainSlack
+	// meanEvacuationPause is the mean pause between evacuations of a zone, maxEvacuationDuration bounds their
+	// random duration.
+	meanEvacuationPause   = 6 * time.Second
+	maxEvacuationDuration = 6 * time.Second
+	// finalEvacuationDuration is the duration of the evacuation after the last fault.
+	finalEvacuationDuration = maxEvacuationDelay + 3*time.Second
 )
 
-// linkHarm tells when replicas' links were harmed: what is held there reaches its replica late,
-// whoever sent it when.
-type linkHarm struct{ begun, open atomic.Int32 }
+// linkFaultCounter counts faults of replica links. A disrupted link may deliver requests late, so evacuations
+// during such a fault are not checked.
+type linkFaultCounter struct{ started, active atomic.Int32 }
 
-func (h *linkHarm) harm(do func()) {
-	h.begun.Add(1)
-	h.open.Add(1)
-	defer h.open.Add(-1)
+func (c *linkFaultCounter) during(do func()) {
+	c.started.Add(1)
+	c.active.Add(1)
+	defer c.active.Add(-1)
 	do()
 }
 
-// zoneFor returns the zone that has the fewest replicas of a service.
+// zoneFor returns the zone with the fewest replicas of a service.
 func (s *Soak) zoneFor(service string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,21 +52,21 @@
 	return fewest
 }
 
-// startEvacuations evacuates each zone again and again, beside all other faults, until these end.
-// It returns what waits for the last lifting and tells how many there were.
+// startEvacuations repeatedly evacuates each zone until fault injection ends. The returned function waits for
+// the last evacuation to end and returns their number.
 func (s *Soak) startEvacuations(ctx context.Context) (wait func() int) {
 	var series sync.WaitGroup
 	var count atomic.Int32
 	for i, zone := range zones {
-		random := s.random(uint64(700 + i))
+		random := s.newRand(uint64(700 + i))
 		series.Go(func() {
 			for {
-				pause(ctx, random, evacuationPause)
-				if time.Since(s.started) >= s.For || ctx.Err() != nil {
+				sleepRandom(ctx, random, meanEvacuationPause)
+				if time.Since(s.startedAt) >= s.Duration || ctx.Err() != nil {
 					return
 				}
 				count.Add(1)
-				s.evacuate(zone, upTo(random, evacuatedMost))
+				s.evacuate(zone, randomDuration(random, maxEvacuationDuration))
 			}
 		})
 	}
@@ -75,50 +76,50 @@
 	}
 }
 
-// evacuate takes a zone out of use for a while, and holds what its replicas run later than the bound
-// against it if nothing disturbed the nodes.
-func (s *Soak) evacuate(zone string, lasts time.Duration) {
-	calm := s.calmFor() > inTouch && s.links.open.Load() == 0
-	harmed := s.links.begun.Load()
-	s.Say("%6.2f s  evacuation of %s for %s", time.Since(s.started).Seconds(), zone, lasts)
+// evacuate evacuates a zone for a while and checks that its replicas receive no requests after
+// maxEvacuationDelay, provided that no fault affected the nodes or the links to replicas.
+func (s *Soak) evacuate(zone string, duration time.Duration) {
+	undisturbed := s.undisturbedFor() > minUndisturbed && s.linkFaults.active.Load() == 0
+	faultsBefore := s.linkFaults.started.Load()
+	s.Logf("%6.2f s  evacuation of %s for %s", time.Since(s.startedAt).Seconds(), zone, duration)
 	s.store.Evacuate(zone)
 	defer s.store.Lift(zone)
-	if lasts <= evacuateWithin {
-		time.Sleep(lasts)
+	if duration <= maxEvacuationDelay {
+		time.Sleep(duration)
 		return
 	}
-	time.Sleep(evacuateWithin)
-	before := s.takenIn(zone)
-	time.Sleep(lasts - evacuateWithin)
+	time.Sleep(maxEvacuationDelay)
+	before := s.requestsByReplica(zone)
+	time.Sleep(duration - maxEvacuationDelay)
 	late := int64(0)
-	for id, taken := range s.takenIn(zone) {
-		late += taken - before[id]
+	for id, received := range s.requestsByReplica(zone) {
+		late += received - before[id]
 	}
-	if !calm || s.calmFor() < inTouch+lasts || s.links.begun.Load() != harmed {
+	if !undisturbed || s.undisturbedFor() < minUndisturbed+duration || s.linkFaults.started.Load() != faultsBefore {
 		return
 	}
-	s.check.Count("evacuations held against their bound")
+	s.checker.Increment("evacuations held against their bound")
 	if late > 0 {
-		s.check.Violate("replicas of %s got %d requests later than %s after its evacuation", zone, late, evacuateWithin)
+		s.checker.AddViolation("replicas in %s received %d requests more than %s after the evacuation", zone, late, maxEvacuationDelay)
 	}
 }
 
-// takenIn returns how many requests each replica of a zone took, by its id.
-func (s *Soak) takenIn(zone string) map[string]int64 {
+// requestsByReplica returns the number of requests received by each replica of a zone.
+func (s *Soak) requestsByReplica(zone string) map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	taken := map[string]int64{}
+	received := map[string]int64{}
 	for _, r := range s.replicas {
 		if r.Zone == zone {
-			taken[r.ID] = r.Taken()
+			received[r.ID] = r.Taken()
 		}
 	}
-	return taken
+	return received
 }
 
-// evacuateInCalm evacuates a zone once nothing has disturbed the nodes for a while: between faults
-// the calm is too short to hold most evacuations against their bound.
-func (s *Soak) evacuateInCalm() {
-	time.Sleep(max(inTouch+time.Second-s.calmFor(), 0))
-	s.evacuate(zones[len(zones)-1], evacuatedInCalm)
+// evacuateUndisturbed evacuates a zone when no faults are active. The pauses between faults are too short to
+// check most evacuations.
+func (s *Soak) evacuateUndisturbed() {
+	time.Sleep(max(minUndisturbed+time.Second-s.undisturbedFor(), 0))
+	s.evacuate(zones[len(zones)-1], finalEvacuationDuration)
 }
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -9,59 +9,59 @@
 )
 
 const (
-	// calmBetween is the mean calm between two rounds of faults, in which bounds that
-	// hold for nodes in touch are checked.
-	calmBetween = 4 * time.Second
-	// faultsAtOnce is the most faults of one round.
-	faultsAtOnce = 3
-	// slowReplicaBy is how much longer a slow replica's whole bodies take.
-	slowReplicaBy = 300 * time.Millisecond
+	// meanRoundPause is the mean pause between two rounds of faults. Guarantees that hold only for
+	// undisturbed nodes are checked during the pauses.
+	meanRoundPause = 4 * time.Second
+	// maxConcurrentFaults is the maximum number of faults per round.
+	maxConcurrentFaults = 3
+	// slowReplicaDelay is the additional response time of a slow replica.
+	slowReplicaDelay = 300 * time.Millisecond
 )
 
-// Fault is a kind of trouble that is brought about from outside the programs.
+// Fault is a fault that is injected from outside the nodes.
 type Fault interface{ isFault() }
 
 type (
-	// NodePause stops a node's process and lets it go on.
-	NodePause struct{ For time.Duration }
+	// NodePause suspends a node's process with SIGSTOP and resumes it.
+	NodePause struct{ Duration time.Duration }
 	// NodeKill kills a node and restarts it.
 	NodeKill struct{ Down time.Duration }
-	// NodeStop stops a node in the planned way and restarts it.
+	// NodeStop stops a node gracefully and restarts it.
 	NodeStop struct{}
-	// NodeReload tells a node that its settings changed.
+	// NodeReload makes a node reload its settings.
 	NodeReload struct{}
-	// AllKill kills every node.
+	// AllKill kills all nodes and restarts them.
 	AllKill struct{ Down time.Duration }
-	// StoreLink harms a node's link to the store.
+	// StoreLink disrupts a node's link to the store.
 	StoreLink struct{ Link LinkFault }
-	// ClientLink harms the link of a node's clients.
+	// ClientLink disrupts the link between clients and a node.
 	ClientLink struct{ Link LinkFault }
-	// ReplicaLink harms the link to a replica.
+	// ReplicaLink disrupts the link to a replica.
 	ReplicaLink struct{ Link LinkFault }
-	// StoreFault makes the store misbehave towards all.
+	// StoreFault makes the store misbehave for all nodes.
 	StoreFault struct {
-		Kind StoreKind
-		For  time.Duration
+		Kind     StoreKind
+		Duration time.Duration
 	}
 	// ReplicaFault makes a replica misbehave.
 	ReplicaFault struct {
-		Kind ReplicaKind
-		For  time.Duration
+		Kind     ReplicaKind
+		Duration time.Duration
 	}
 )
 
-// LinkFault says how a link is harmed.
+// LinkFault describes how a link is disrupted.
 type LinkFault struct {
-	Mode  int
-	Delay time.Duration
-	Reset bool
-	For   time.Duration
+	Mode     int
+	Delay    time.Duration
+	Reset    bool
+	Duration time.Duration
 }
 
-// StoreKind is how the store misbehaves.
+// StoreKind is a kind of store fault.
 type StoreKind string
 
-// Kinds of the store's faults.
+// Kinds of store faults.
 const (
 	StoreSilent   StoreKind = "silent"
 	StoreRefusing StoreKind = "refusing"
@@ -72,17 +72,17 @@
 	StoreHush     StoreKind = "hush"
 )
 
-// ReplicaKind is how a replica misbehaves.
+// ReplicaKind is a kind of replica fault.
 type ReplicaKind string
 
-// Kinds of the replicas' faults.
+// Kinds of replica faults.
 const (
 	ReplicaBreaks  ReplicaKind = "breaks"
 	ReplicaFails   ReplicaKind = "fails"
 	ReplicaFull    ReplicaKind = "full"
 	ReplicaDrains  ReplicaKind = "drains"
 	ReplicaCrashes ReplicaKind = "crashes"
-	// ReplicaRestarts ends a replica, which starts again under its ID and address.
+	// ReplicaRestarts restarts a replica under the same ID and address.
 	ReplicaRestarts ReplicaKind = "restarts"
 	ReplicaLoses    ReplicaKind = "loses"
 	ReplicaDoubles  ReplicaKind = "doubles"
@@ -100,15 +100,15 @@
 func (StoreFault) isFault()   {}
 func (ReplicaFault) isFault() {}
 
-func upTo(random *rand.Rand, most time.Duration) time.Duration {
-	return 200*time.Millisecond + time.Duration(random.Int64N(int64(most)))
+func randomDuration(random *rand.Rand, limit time.Duration) time.Duration {
+	return 200*time.Millisecond + time.Duration(random.Int64N(int64(limit)))
 }
 
-func drawLink(random *rand.Rand) LinkFault {
-	link := LinkFault{For: upTo(random, 4*time.Second)}
+func drawLinkFault(random *rand.Rand) LinkFault {
+	link := LinkFault{Duration: randomDuration(random, 4*time.Second)}
 	switch random.IntN(3) {
 	case 0:
-		link.Delay = upTo(random, 300*time.Millisecond)
+		link.Delay = randomDuration(random, 300*time.Millisecond)
 	case 1:
 		link.Reset = true
 	default:
@@ -117,7 +117,7 @@
 	return link
 }
 
-// Draw draws a fault.
+// Draw returns a random fault.
 func Draw(random *rand.Rand) Fault {
 	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreForget, StoreHush}
 	replicas := []ReplicaKind{ReplicaBreaks, ReplicaFails, ReplicaFull, ReplicaDrains, ReplicaCrashes, ReplicaLoses, ReplicaDoubles, ReplicaSlow}
@@ -125,66 +125,66 @@
 	case 12:
 		signals := NodeSignals{}
 		for range 3 + random.IntN(4) {
-			signals.Gaps = append(signals.Gaps, upTo(random, 500*time.Millisecond))
+			signals.Gaps = append(signals.Gaps, randomDuration(random, 500*time.Millisecond))
 		}
 		return signals
 	case 13:
-		return RollStop{Gap: upTo(random, 1500*time.Millisecond)}
+		return RollStop{Gap: randomDuration(random, 1500*time.Millisecond)}
 	case 14:
-		return ConfigSeries{Count: 3 + random.IntN(8), Gap: upTo(random, 200*time.Millisecond)}
+		return ConfigSeries{Count: 3 + random.IntN(8), Gap: randomDuration(random, 200*time.Millisecond)}
 	case 0:
-		return NodePause{For: upTo(random, 4*time.Second)}
+		return NodePause{Duration: randomDuration(random, 4*time.Second)}
 	case 1, 2:
-		return NodeKill{Down: upTo(random, 2*time.Second)}
+		return NodeKill{Down: randomDuration(random, 2*time.Second)}
 	case 3, 4:
 		return NodeStop{}
 	case 5:
 		return NodeReload{}
 	case 6:
 		if random.IntN(3) == 0 {
-			return AllKill{Down: upTo(random, time.Second)}
+			return AllKill{Down: randomDuration(random, time.Second)}
 		}
-		return NodeKill{Down: upTo(random, time.Second)}
+		return NodeKill{Down: randomDuration(random, time.Second)}
 	case 7:
-		return StoreLink{Link: drawLink(random)}
+		return StoreLink{Link: drawLinkFault(random)}
 	case 8:
-		return ClientLink{Link: drawLink(random)}
+		return ClientLink{Link: drawLinkFault(random)}
 	case 9:
-		return ReplicaLink{Link: drawLink(random)}
+		return ReplicaLink{Link: drawLinkFault(random)}
 	case 10:
-		return StoreFault{Kind: stores[random.IntN(len(stores))], For: upTo(random, 4*time.Second)}
+		return StoreFault{Kind: stores[random.IntN(len(stores))], Duration: randomDuration(random, 4*time.Second)}
 	default:
-		return restartOf(ReplicaFault{Kind: replicas[random.IntN(len(replicas))], For: upTo(random, 4*time.Second)})
+		return shortCrashToRestart(ReplicaFault{Kind: replicas[random.IntN(len(replicas))], Duration: randomDuration(random, 4*time.Second)})
 	}
 }
 
-// restartOf makes a restart of a crash that is short, so that seeds draw the same schedules as without
-// restarts.
-func restartOf(fault ReplicaFault) ReplicaFault {
-	if fault.Kind == ReplicaCrashes && fault.For < 2*time.Second {
+// shortCrashToRestart replaces a short crash by a restart. It draws no random numbers, so schedules of
+// existing seeds are preserved.
+func shortCrashToRestart(fault ReplicaFault) ReplicaFault {
+	if fault.Kind == ReplicaCrashes && fault.Duration < 2*time.Second {
 		fault.Kind = ReplicaRestarts
 	}
 	return fault
 }
 
-// disturb injects rounds of faults and returns how often each kind was injected.
-func (s *Soak) disturb(ctx context.Context) map[string]int {
-	random := s.random(1)
+// injectFaults injects rounds of faults and returns the number of faults by kind.
+func (s *Soak) injectFaults(ctx context.Context) map[string]int {
+	random := s.newRand(1)
 	counts := map[string]int{}
-	for time.Since(s.started) < s.For && ctx.Err() == nil {
-		pause(ctx, random, calmBetween)
-		done := make(chan struct{}, faultsAtOnce)
-		round := 1 + random.IntN(faultsAtOnce)
+	for time.Since(s.startedAt) < s.Duration && ctx.Err() == nil {
+		sleepRandom(ctx, random, meanRoundPause)
+		done := make(chan struct{}, maxConcurrentFaults)
+		round := 1 + random.IntN(maxConcurrentFaults)
 		for range round {
 			fault := Draw(random)
 			counts[fmt.Sprintf("%T", fault)]++
 			victim := random.IntN(1 << 20)
-			s.Say("%6.2f s  fault %T %+v", time.Since(s.started).Seconds(), fault, fault)
+			s.Logf("%6.2f s  fault %T %+v", time.Since(s.startedAt).Seconds(), fault, fault)
 			go func() {
 				s.inject(fault, victim)
 				done <- struct{}{}
 			}()
-			pause(ctx, random, 300*time.Millisecond)
+			sleepRandom(ctx, random, 300*time.Millisecond)
 		}
 		for range round {
 			<-done
@@ -193,12 +193,12 @@
 	return counts
 }
 
-// inject brings a fault about and ends it.
+// inject injects a fault and ends it.
 func (s *Soak) inject(fault Fault, victim int) {
 	n := s.nodes[victim%len(s.nodes)]
 	switch f := fault.(type) {
 	case NodeStop:
-		s.stopNode(n)
+		s.restartGracefully(n)
 		return
 	case NodeReload:
 		n.process.Reload()
@@ -211,80 +211,80 @@
 		return
 	case ReplicaLink:
 		if r := s.replicaAt(victim); r != nil {
-			s.links.harm(func() { harm(r.link, f.Link) })
+			s.linkFaults.during(func() { applyLinkFault(r.link, f.Link) })
 		}
 		return
 	case ReplicaFault:
-		s.harmReplica(f, victim)
+		s.applyReplicaFault(f, victim)
 		return
 	}
-	s.faulty.Add(1)
+	s.activeFaults.Add(1)
 	defer func() {
-		s.touched()
-		s.faulty.Add(-1)
+		s.markDisturbance()
+		s.activeFaults.Add(-1)
 	}()
 	switch f := fault.(type) {
 	case NodePause:
 		n.process.Pause()
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		n.process.Resume()
 	case NodeSignals:
 		s.signalNode(n, f)
 	case NodeKill:
 		n.process.Kill()
 		time.Sleep(f.Down)
-		s.restart(n)
+		s.startNode(n)
 	case AllKill:
-		for _, one := range s.nodes {
-			one.process.Kill()
+		for _, n := range s.nodes {
+			n.process.Kill()
 		}
 		time.Sleep(f.Down)
-		for _, one := range s.nodes {
-			s.restart(one)
+		for _, n := range s.nodes {
+			s.startNode(n)
 		}
 	case StoreLink:
-		harm(n.toStore, f.Link)
+		applyLinkFault(n.toStore, f.Link)
 	case ClientLink:
-		harm(n.toClients, f.Link)
+		applyLinkFault(n.toClients, f.Link)
 	case StoreFault:
-		s.harmStore(f)
+		s.applyStoreFault(f)
 	}
 }
 
-// restart starts a node that does not run.
-func (s *Soak) restart(n *node) {
+// startNode starts a node unless it is running.
+func (s *Soak) startNode(n *node) {
 	if err := n.start(); err != nil {
-		s.check.Violate("%s can't be started: %s", n.name, err)
+		s.checker.AddViolation("starting %s: %s", n.name, err)
 	}
 }
 
-// stopNode stops a node in the planned way and starts it again.
-func (s *Soak) stopNode(n *node) {
+// restartGracefully stops a node gracefully and starts it again.
+func (s *Soak) restartGracefully(n *node) {
 	if !n.process.Running() {
 		return
 	}
-	calm := s.calmFor() > inTouch
-	n.planned.Store(true)
-	if err := n.process.Stop(stopGrace); err != nil && calm && s.calmFor() > inTouch {
-		s.check.Violate("%s: %s", n.name, err)
+	undisturbed := s.undisturbedFor() > minUndisturbed
+	n.stopping.Store(true)
+	if err := n.process.Stop(stopTimeout); err != nil && undisturbed && s.undisturbedFor() > minUndisturbed {
+		s.checker.AddViolation("%s: %s", n.name, err)
 	}
-	s.restart(n)
-	s.touched()
+	s.startNode(n)
+	s.markDisturbance()
 }
 
-func harm(link *Proxy, fault LinkFault) {
+func applyLinkFault(link *Proxy, fault LinkFault) {
 	if fault.Reset {
 		link.Reset()
 		return
 	}
 	link.SetDelay(fault.Delay)
 	link.SetMode(fault.Mode)
-	time.Sleep(fault.For)
+	time.Sleep(fault.Duration)
 	link.SetMode(LinkOpen)
 	link.SetDelay(0)
 }
 
-func (s *Soak) harmStore(fault StoreFault) {
+func (s *Soak) applyStoreFault(fault StoreFault) {
 	switch fault.Kind {
 	case StoreForget:
 		s.store.Records.Forget()
@@ -296,7 +296,7 @@
 		return
 	case StoreSlow:
 		s.store.SlowBy.Store(int64(200 * time.Millisecond))
-		time.Sleep(fault.For)
+		time.Sleep(fault.Duration)
 		s.store.SlowBy.Store(0)
 		return
 	case StoreSilent, StoreRefusing, StoreLosing, StoreLate:
@@ -312,7 +312,7 @@
 	case StoreLate, StoreForget, StoreHush, StoreSlow:
 	}
 	flag.Store(true)
-	time.Sleep(fault.For)
+	time.Sleep(fault.Duration)
 	flag.Store(false)
 }
 
@@ -325,7 +325,7 @@
 	return s.replicas[victim%len(s.replicas)]
 }
 
-func (s *Soak) harmReplica(fault ReplicaFault, victim int) {
+func (s *Soak) applyReplicaFault(fault ReplicaFault, victim int) {
 	r := s.replicaAt(victim)
 	if r == nil {
 		return
@@ -334,7 +334,7 @@
 	case ReplicaBreaks:
 		r.Broken.Store(true)
 	case ReplicaFails:
-		// An item that fails at every attempt is given up, so plain replicas alone fail.
+		// Only plain replicas fail, because items that fail at every attempt are terminated.
 		if r.Model == "" {
 			r.Failing.Store(true)
 		}
@@ -345,23 +345,23 @@
 	case ReplicaDoubles:
 		r.Doubling.Store(true)
 	case ReplicaSlow:
-		r.SlowBy.Store(int64(slowReplicaBy))
+		r.SlowBy.Store(int64(slowReplicaDelay))
 	case ReplicaDrains:
-		s.replace(r, true)
+		s.replaceReplica(r, true)
 		return
 	case ReplicaCrashes:
-		s.replace(r, false)
+		s.replaceReplica(r, false)
 		return
 	case ReplicaRestarts:
 		r.Restart()
 		return
 	}
-	time.Sleep(fault.For)
-	healReplica(r)
+	time.Sleep(fault.Duration)
+	clearReplicaFaults(r)
 }
 
-// healReplica ends every fault of a replica.
-func healReplica(r *replica) {
+// clearReplicaFaults ends all faults of a replica.
+func clearReplicaFaults(r *replica) {
 	for _, flag := range []*atomic.Bool{&r.Broken, &r.Failing, &r.Full, &r.Losing, &r.Doubling} {
 		flag.Store(false)
 	}
--- a/internal/soak/homes.go
+++ b/internal/soak/homes.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// homedRoute is the route whose requests must stay in homeRegion, homedPath one of its paths.
-	homedRoute = "once"
-	homedPath  = "/once/x"
-	homeRegion = "north"
+	// homeBoundRoute is a route whose requests must stay in homeRegion, homeBoundPath a path of it.
+	homeBoundRoute = "once"
+	homeBoundPath  = "/once/x"
+	homeRegion     = "north"
 )
 
-// homes keeps which requests must stay in homeRegion.
+// homes records the requests that must stay in homeRegion.
 type homes struct{ requests sync.Map }
 
-// bind notes that a request goes to homedRoute.
-func (h *homes) bind(request string) { h.requests.Store(request, true) }
+// add records a request to homeBoundRoute.
+func (h *homes) add(request string) { h.requests.Store(request, true) }
 
-// kept returns what is wrong with a request that runs at a replica, empty for nothing.
-func (h *homes) kept(replica, zone, request string) string {
+// checkRegion returns a violation if a request runs outside its home region, otherwise an empty string.
+func (h *homes) checkRegion(replica, zone, request string) string {
 	if _, bound := h.requests.Load(request); !bound || zone == zones[0] {
 		return ""
 	}
-	return fmt.Sprintf("request %s runs at %s in %s, its home is %s", request, replica, zone, homeRegion)
+	return fmt.Sprintf("request %s ran on %s in %s, outside its home region %s", request, replica, zone, homeRegion)
 }
 
-// regionsFor is the part of a node's settings that tells of the two regions, a zone each.
-func regionsFor(zone string) string {
+// regionSettings returns the region settings of a node in a zone. Each zone is a region of its own.
+func regionSettings(zone string) string {
 	region := map[string]string{zones[0]: homeRegion, zones[1]: "south"}
 	return fmt.Sprintf("region: %s\nzones: [{name: %s, region: %s}, {name: %s, region: %s}]\n",
 		region[zone], zones[0], region[zones[0]], zones[1], region[zones[1]])
 }
 
-// withHomes binds homedRoute in a configuration.
+// withHomes restricts homeBoundRoute to homeRegion in a configuration.
 func withHomes(content []byte) []byte {
-	return platformtest.WithHomes(content, homedRoute, homeRegion)
+	return platformtest.WithHomes(content, homeBoundRoute, homeRegion)
 }
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -11,85 +11,86 @@
 )
 
 const (
-	// poison is the body of the request that crashes the replicas that run it, poisonPause the mean
-	// pause between two arrivals.
-	poison      = "poison"
-	poisonPause = 700 * time.Millisecond
-	// crashDown is how long a crashed replica is gone, lapseAfter how long its record stays.
-	crashDown  = time.Second
-	lapseAfter = 3 * time.Second
-	// crashLimit is how many replicas the request may crash before all nodes in touch must know of
-	// it, lateRuns how often it may run after that.
-	crashLimit = 3
-	lateRuns   = 3
+	// poison is the body of a request that crashes the replicas that run it, meanPoisonPause the mean pause between
+	// two such requests.
+	poison          = "poison"
+	meanPoisonPause = 700 * time.Millisecond
+	// crashRestartDelay is when a crashed replica is replaced, recordExpiry when its record is removed.
+	crashRestartDelay = time.Second
+	recordExpiry      = 3 * time.Second
+	// maxCrashes is the number of replicas that the poison request may crash before undisturbed nodes must
+	// quarantine it. maxLateCrashes is the number of crashes that are tolerated afterwards.
+	maxCrashes     = 3
+	maxLateCrashes = 3
 )
 
-// poisonBody returns the body that crashes a service's replicas: plain ones alone.
-func poisonBody(service string) string {
+// crashBody returns the request body that crashes replicas of a service, empty for none. Only plain replicas crash.
+func crashBody(service string) string {
 	if service == platformtest.PlainService {
 		return poison
 	}
 	return ""
 }
 
-// poisonCaller sends the same request to any node, again and again.
+// poisonCaller repeatedly sends the poison request to random nodes.
 func (s *Soak) poisonCaller(ctx context.Context) {
-	random := s.random(600)
+	random := s.newRand(600)
 	for i := 0; ctx.Err() == nil; i++ {
-		pause(ctx, random, poisonPause)
-		answer := s.send(ctx, s.pick(random), http.MethodPost, "/plain/x", fmt.Sprintf("poison.%d", i), []byte(poison))
+		sleepRandom(ctx, random, meanPoisonPause)
+		answer := s.send(ctx, s.randomNode(random), http.MethodPost, "/plain/x", fmt.Sprintf("poison.%d", i), []byte(poison))
 		if answer.Err == nil {
-			s.check.Count(fmt.Sprint("poison request: status ", answer.Status))
+			s.checker.Increment(fmt.Sprint("poison request: status ", answer.Status))
 		}
 	}
 }
 
-// crashed notes that the poison request ends a replica, and has another started later.
-func (s *Soak) crashed(id string) {
-	s.check.Crashed(time.Now(), s.calmFor() > inTouch)
+// onCrash records that the poison request crashed a replica, and schedules the start of a replacement.
+func (s *Soak) onCrash(id string) {
+	s.checker.RecordCrash(time.Now(), s.undisturbedFor() > minUndisturbed)
 	s.mu.Lock()
 	at := slices.IndexFunc(s.replicas, func(r *replica) bool { return r.ID == id })
-	var gone *replica
+	var crashed *replica
 	if at >= 0 {
-		gone = s.replicas[at]
+		crashed = s.replicas[at]
 		s.replicas = slices.Delete(s.replicas, at, at+1)
 	}
 	s.mu.Unlock()
-	if gone == nil {
-		// It is being replaced already.
+	if crashed == nil {
+		// The replica is already being replaced.
 		return
 	}
-	gone.link.Close()
-	time.AfterFunc(lapseAfter, func() { s.store.Remove("servers", id) })
-	time.AfterFunc(crashDown, func() {
-		if err := s.addReplica(gone.Service, gone.Model); err != nil {
-			s.check.Violate("no replica can be started: %s", err)
+	crashed.link.Close()
+	time.AfterFunc(recordExpiry, func() { s.store.Remove("servers", id) })
+	time.AfterFunc(crashRestartDelay, func() {
+		if err := s.addReplica(crashed.Service, crashed.Model); err != nil {
+			s.checker.AddViolation("starting a replica: %s", err)
 		}
 	})
 }
 
-// crashRecord is what was seen of the poison request.
+// crashRecord counts the crashes caused by the poison request.
 type crashRecord struct {
 	crashes int
-	// limitAt is when it had crashed as many replicas as it may.
+	// limitAt is when maxCrashes was reached, late the number of unexpected crashes since then.
 	limitAt time.Time
 	late    int
 }
 
-// Crashed notes that the poison request ends a replica; calm says that all nodes are in touch.
-func (c *Checker) Crashed(now time.Time, calm bool) {
+// RecordCrash records that the poison request crashed a replica. undisturbed reports whether no node was
+// recently affected by faults.
+func (c *Checker) RecordCrash(now time.Time, undisturbed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["crashes"]++
 	c.crash.crashes++
-	if c.crash.crashes == crashLimit {
+	if c.crash.crashes == maxCrashes {
 		c.crash.limitAt = now
 	}
-	if c.crash.limitAt.IsZero() || now.Sub(c.crash.limitAt) <= inTouch || !calm {
+	if c.crash.limitAt.IsZero() || now.Sub(c.crash.limitAt) <= minUndisturbed || !undisturbed {
 		return
 	}
 	c.crash.late++
-	if c.crash.late > lateRuns {
-		c.violate("the poison request ends replica %d, the %dth after all nodes must know of it", c.crash.crashes, c.crash.late)
+	if c.crash.late > maxLateCrashes {
+		c.addViolation("the poison request crashed replica %d, crash %d after all nodes should have quarantined it", c.crash.crashes, c.crash.late)
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -9,94 +9,94 @@
 	"time"
 )
 
-// ErrNotStopped says that a process outlived its planned stop.
-var ErrNotStopped = errors.New("the process did not end within its grace")
+// ErrNotStopped reports that a process had to be killed because it did not stop in time.
+var ErrNotStopped = errors.New("the process did not exit within the shutdown timeout")
 
-// Process is one program that the soak starts, signals and starts again. It signals no
-// other process: every signal goes to the handle of its own child.
+// Process is a program that can be signaled and restarted. Signals are sent only through the handle of its
+// own child process.
 type Process struct {
-	// Path and Args are the program, Log takes its output.
+	// Path and Args are the command, Log receives its output.
 	Path string
 	Args []string
 	Log  *os.File
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
 }
 
-// current returns the present life's process and what is closed at its end; nil before the first.
+// current returns the current process and a channel that is closed when it exits, nil before the first start.
 func (p *Process) current() (*exec.Cmd, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd, p.ended
+	return p.cmd, p.exited
 }
 
-// signal sends a signal to the present life.
+// signal sends a signal to the current process.
 func (p *Process) signal(number os.Signal) {
 	if cmd, _ := p.current(); cmd != nil {
 		_ = cmd.Process.Signal(number)
 	}
 }
 
-// Start starts the program.
+// Start starts a new process.
 func (p *Process) Start() error {
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Stdout, cmd.Stderr = p.Log, p.Log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended = cmd, ended
+	p.cmd, p.exited = cmd, exited
 	p.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// Running reports whether the program runs.
+// Running reports whether the process is running.
 func (p *Process) Running() bool {
-	_, ended := p.current()
-	if ended == nil {
+	_, exited := p.current()
+	if exited == nil {
 		return false
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// Pause and Resume stop and continue the program.
+// Pause suspends the process with SIGSTOP.
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// Resume continues a paused program.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Reload tells the program that its settings changed.
+// Reload makes the process reload its settings with SIGHUP.
 func (p *Process) Reload() { p.signal(syscall.SIGHUP) }
 
-// Kill ends the program at once.
+// Kill kills the process and waits for its exit.
 func (p *Process) Kill() {
-	cmd, ended := p.current()
+	cmd, exited := p.current()
 	_ = cmd.Process.Kill()
-	<-ended
+	<-exited
 }
 
-// Stop asks the program to end, and kills it when it has not within the grace.
-func (p *Process) Stop(grace time.Duration) error {
-	cmd, ended := p.current()
+// Stop sends SIGTERM, and kills the process if it does not exit within the timeout.
+func (p *Process) Stop(timeout time.Duration) error {
+	cmd, exited := p.current()
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-ended:
+	case <-exited:
 		return nil
-	case <-time.After(grace):
+	case <-time.After(timeout):
 		_ = cmd.Process.Kill()
-		<-ended
+		<-exited
 		return ErrNotStopped
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,37 +9,38 @@
 
 // Link modes of a Proxy.
 const (
-	// LinkOpen passes everything on.
+	// LinkOpen forwards all data.
 	LinkOpen = iota
-	// LinkSilent passes nothing on, either way.
+	// LinkSilent holds all data in both directions.
 	LinkSilent
-	// LinkMuteUp drops what clients send, LinkMuteDown what they should get.
+	// LinkMuteUp holds data from clients, LinkMuteDown data to clients.
 	LinkMuteUp
 	LinkMuteDown
 )
 
-// holdPoll is how often a held direction looks whether its link is open again.
-const holdPoll = 10 * time.Millisecond
+// holdPollInterval is how often a connection checks whether its link is open again.
+const holdPollInterval = 10 * time.Millisecond
 
-// Proxy is a loopback link to Target that can be delayed, cut one way or both, and reset.
-// A cut link loses nothing that TCP would not: bytes wait until it heals or is reset.
+// Proxy is a TCP proxy on loopback whose connections can be delayed, interrupted in one or both directions,
+// and reset. Data on an interrupted link is not lost: it is held until the link is open again or reset.
 type Proxy struct {
-	// Target is the host:port behind the link.
+	// Target is the host:port to which connections are forwarded.
 	Target string
-	// Uses tells how a client's connection uses the way between the regions; nil for none does.
-	Uses func(client net.Conn) side
+	// Direction returns the direction of data from a client on the link between the regions. If it is nil,
+	// connections do not use that link.
+	Direction func(client net.Conn) direction
 
 	listener net.Listener
 	mode     atomic.Int32
 	delay    atomic.Int64
-	// changedAt is when its mode or delay was set last, in Unix nanoseconds.
+	// changedAt is when the mode or the delay was last set, in Unix nanoseconds.
 	changedAt atomic.Int64
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// Listen opens the link on loopback and returns its address.
+// Listen opens a listener on loopback and returns its address.
 func (p *Proxy) Listen() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,30 +52,30 @@
 	return listener.Addr().String(), nil
 }
 
-// Close closes the link and all its connections.
+// Close closes the listener and resets all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
 }
 
-// SetMode sets one of the link modes.
+// SetMode sets the link mode.
 func (p *Proxy) SetMode(mode int) {
 	p.mode.Store(int32(mode))
 	p.changedAt.Store(time.Now().UnixNano())
 }
 
-// SetDelay delays every read of the link, each way.
+// SetDelay sets the delay of each read in both directions.
 func (p *Proxy) SetDelay(d time.Duration) {
 	p.delay.Store(int64(d))
 	p.changedAt.Store(time.Now().UnixNano())
 }
 
-// Steady reports whether the link has passed everything on at once for a while.
+// Steady reports whether the link has been open and without delay for longer than the given time.
 func (p *Proxy) Steady(since time.Duration) bool {
 	return p.mode.Load() == LinkOpen && p.delay.Load() == 0 && time.Since(time.Unix(0, p.changedAt.Load())) > since
 }
 
-// Reset resets all open connections.
+// Reset closes all connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,12 +99,12 @@
 }
 
 func (p *Proxy) serve(client net.Conn) {
-	up := side{}
-	if p.Uses != nil {
-		up = p.Uses(client)
+	up := direction{}
+	if p.Direction != nil {
+		up = p.Direction(client)
 	}
-	// A link that is cut accepts as the kernel would, and carries nothing.
-	p.hold(LinkMuteUp, up)
+	// An interrupted link accepts connections, as the kernel does, but does not connect to the target.
+	p.waitWhileCut(LinkMuteUp, up)
 	server, err := net.Dial("tcp", p.Target)
 	if err != nil {
 		if tcp, ok := client.(*net.TCPConn); ok {
@@ -119,11 +120,11 @@
 	done.Add(2)
 	go func() {
 		defer done.Done()
-		p.pass(client, server, LinkMuteUp, up)
+		p.copyDirection(client, server, LinkMuteUp, up)
 	}()
 	go func() {
 		defer done.Done()
-		p.pass(server, client, LinkMuteDown, up.back())
+		p.copyDirection(server, client, LinkMuteDown, up.reverse())
 	}()
 	done.Wait()
 	p.mu.Lock()
@@ -134,8 +135,8 @@
 	_ = server.Close()
 }
 
-// pass copies one direction; its end closes both sides, as a process's end does.
-func (p *Proxy) pass(from, to net.Conn, muted int, uses side) {
+// copyDirection copies data in one direction. When it ends, it closes both connections.
+func (p *Proxy) copyDirection(from, to net.Conn, muted int, dir direction) {
 	defer func() {
 		_ = from.Close()
 		_ = to.Close()
@@ -144,26 +145,26 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			time.Sleep(time.Duration(p.delay.Load()) + uses.delay())
-			p.hold(muted, uses)
+			time.Sleep(time.Duration(p.delay.Load()) + dir.delay())
+			p.waitWhileCut(muted, dir)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
-			p.hold(muted, uses)
+			p.waitWhileCut(muted, dir)
 			return
 		}
 	}
 }
 
-// hold waits while a direction is cut.
-func (p *Proxy) hold(muted int, uses side) {
+// waitWhileCut blocks while a direction is interrupted.
+func (p *Proxy) waitWhileCut(muted int, dir direction) {
 	for {
 		mode := int(p.mode.Load())
-		if mode != LinkSilent && mode != muted && !uses.cut() {
+		if mode != LinkSilent && mode != muted && !dir.cut() {
 			return
 		}
-		time.Sleep(holdPoll)
+		time.Sleep(holdPollInterval)
 	}
 }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// patience bounds every wait; no test depends on being fast.
-const patience = 20 * time.Second
+// testTimeout bounds every wait that is expected to succeed.
+const testTimeout = 20 * time.Second
 
-// echo serves one connection that gets back what it sends.
+// echo starts an echo server and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	return conn
 }
 
-func exchange(conn net.Conn, wait time.Duration) error {
+func roundTrip(conn net.Conn, wait time.Duration) error {
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return err
 	}
@@ -57,39 +57,39 @@
 	return err
 }
 
-func TestProxyCutsAndHeals(t *testing.T) {
+func TestProxyHoldsDataWhileInterrupted(t *testing.T) {
 	for _, mode := range []int{LinkSilent, LinkMuteUp, LinkMuteDown} {
 		p := &Proxy{Target: echo(t)}
 		conn := dial(t, p)
-		if err := exchange(conn, patience); err != nil {
-			t.Fatalf("an open link carries: %v", err)
+		if err := roundTrip(conn, testTimeout); err != nil {
+			t.Fatalf("round trip over an open link: %v", err)
 		}
 		p.SetMode(mode)
-		if err := exchange(conn, 50*time.Millisecond); err == nil {
-			t.Errorf("mode %d carried an exchange", mode)
+		if err := roundTrip(conn, 50*time.Millisecond); err == nil {
+			t.Errorf("round trip succeeded in mode %d", mode)
 		}
 		p.SetMode(LinkOpen)
-		_ = conn.SetReadDeadline(time.Now().Add(patience))
+		_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 		var one [1]byte
 		if _, err := conn.Read(one[:]); err != nil {
-			t.Errorf("mode %d lost what it held: %v", mode, err)
+			t.Errorf("held data is lost after mode %d: %v", mode, err)
 		}
 	}
 }
 
-func TestProxyResets(t *testing.T) {
+func TestProxyReset(t *testing.T) {
 	p := &Proxy{Target: echo(t)}
 	conn := dial(t, p)
-	if err := exchange(conn, patience); err != nil {
+	if err := roundTrip(conn, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	p.Reset()
-	if err := exchange(conn, patience); err == nil {
-		t.Error("a connection outlived its reset")
+	if err := roundTrip(conn, testTimeout); err == nil {
+		t.Error("round trip succeeded after a reset")
 	}
 }
 
-func TestScheduleFollowsItsSeed(t *testing.T) {
+func TestDrawIsDeterministic(t *testing.T) {
 	draw := func(seed uint64) []Fault {
 		random := rand.New(rand.NewPCG(seed, 1))
 		var list []Fault
@@ -99,13 +99,13 @@
 		return list
 	}
 	if !reflect.DeepEqual(draw(7), draw(7)) || reflect.DeepEqual(draw(7), draw(8)) {
-		t.Error("a seed decides the faults")
+		t.Error("faults are not determined by the seed")
 	}
 	kinds := map[reflect.Type]bool{}
 	for _, fault := range draw(7) {
 		kinds[reflect.TypeOf(fault)] = true
 	}
 	if len(kinds) < 10 {
-		t.Errorf("200 draws show %d kinds", len(kinds))
+		t.Errorf("200 draws contain only %d kinds of faults", len(kinds))
 	}
 }
--- a/internal/soak/region.go
+++ b/internal/soak/region.go
@@ -9,145 +9,146 @@
 )
 
 const (
-	// regionsEvery is the mean time between two faults of the way between the regions.
-	regionsEvery = 6 * time.Second
-	// regionFor bounds one of them, slowBy what a slow way adds, fullBy what a full one does: no call
-	// to the store is answered in time.
-	regionFor = 5 * time.Second
-	slowBy    = 250 * time.Millisecond
-	fullBy    = 2 * time.Second
+	// meanRegionFaultPause is the mean pause between two faults of the link between the regions.
+	meanRegionFaultPause = 6 * time.Second
+	// maxRegionFaultDuration bounds the random duration of such a fault, maxExtraLatency the random latency
+	// of a slow link. At saturatedLatency, all calls to the store time out.
+	maxRegionFaultDuration = 5 * time.Second
+	maxExtraLatency        = 250 * time.Millisecond
+	saturatedLatency       = 2 * time.Second
 )
 
-// nearZone is the zone of the region in which the store stands, farZone that of the other.
+// nearZone is the zone in the region of the store, farZone the one in the other region.
 var nearZone, farZone = zones[0], zones[1]
 
-// regionFault is how the way between the regions is harmed.
+// regionFault describes a fault of the link between the regions.
 type regionFault struct {
-	// Out and In cut what leaves the far region and what comes there; Slow is added each way.
-	Out, In bool
-	Slow    time.Duration
-	For     time.Duration
+	// Out and In interrupt traffic from and to the far region. Slow is additional one-way latency.
+	Out, In  bool
+	Slow     time.Duration
+	Duration time.Duration
 }
 
-// Way is the way between the two regions, which the links share whose ends lie on both sides.
-type Way struct {
-	// Apart is how much longer than within a region bytes are under way, each way.
-	Apart time.Duration
+// interRegionLink is the link between the two regions. It is shared by all connections between them.
+type interRegionLink struct {
+	// Latency is the additional one-way latency compared to connections within a region.
+	Latency time.Duration
 
-	slow            atomic.Int64
-	noneOut, noneIn atomic.Bool
+	extraLatency  atomic.Int64
+	cutOut, cutIn atomic.Bool
 }
 
-// harm sets a fault; the zero one ends it.
-func (w *Way) harm(f regionFault) {
-	w.noneOut.Store(f.Out)
-	w.noneIn.Store(f.In)
-	w.slow.Store(int64(f.Slow))
+// setFault applies a fault; the zero value ends it.
+func (l *interRegionLink) setFault(f regionFault) {
+	l.cutOut.Store(f.Out)
+	l.cutIn.Store(f.In)
+	l.extraLatency.Store(int64(f.Slow))
 }
 
-// side is how a connection uses a way; the zero value does not.
-type side struct {
-	way *Way
-	// out says that the bytes leave the far region.
+// direction is the direction in which data passes the link between the regions. The zero value is for data
+// that stays within a region.
+type direction struct {
+	link *interRegionLink
+	// out is true for data that leaves the far region.
 	out bool
 }
 
-func (s side) back() side { return side{s.way, !s.out} }
+func (d direction) reverse() direction { return direction{d.link, !d.out} }
 
-func (s side) delay() time.Duration {
-	if s.way == nil {
+func (d direction) delay() time.Duration {
+	if d.link == nil {
 		return 0
 	}
-	return s.way.Apart + time.Duration(s.way.slow.Load())
+	return d.link.Latency + time.Duration(d.link.extraLatency.Load())
 }
 
-func (s side) cut() bool {
+func (d direction) cut() bool {
 	switch {
-	case s.way == nil:
+	case d.link == nil:
 		return false
-	case s.out:
-		return s.way.noneOut.Load()
+	case d.out:
+		return d.link.cutOut.Load()
 	default:
-		return s.way.noneIn.Load()
+		return d.link.cutIn.Load()
 	}
 }
 
-// between returns how a connection from one zone to another uses the way.
-func (s *Soak) between(from, to string) side {
-	if s.Apart <= 0 || from == to {
-		return side{}
+// directionBetween returns the direction of data from one zone to another.
+func (s *Soak) directionBetween(from, to string) direction {
+	if s.RegionLatency <= 0 || from == to {
+		return direction{}
 	}
-	return side{way: &s.way, out: from == farZone}
+	return direction{link: &s.regionLink, out: from == farZone}
 }
 
-// toReplica returns how a node's connection to a replica's link uses the way. All nodes use one
-// address of a replica: which of them opened a connection is told by its socket.
-func (s *Soak) toReplica(zone string) func(client net.Conn) side {
-	return func(client net.Conn) side {
-		if s.Apart <= 0 {
-			return side{}
+// replicaDirection returns the direction of connections to a replica. All nodes share the replica's address,
+// so the node is identified by the socket of the connection.
+func (s *Soak) replicaDirection(zone string) func(client net.Conn) direction {
+	return func(client net.Conn) direction {
+		if s.RegionLatency <= 0 {
+			return direction{}
 		}
-		inode := inodeOf(client)
+		inode := peerInode(client)
 		s.mu.Lock()
 		nodes := s.nodes
 		s.mu.Unlock()
 		for _, n := range nodes {
-			if inode != "" && n.process.holds(inode) {
-				return s.between(n.zone, zone)
+			if inode != "" && n.process.ownsSocket(inode) {
+				return s.directionBetween(n.zone, zone)
 			}
 		}
-		return side{}
+		return direction{}
 	}
 }
 
-// holds reports whether the present life holds a socket.
-func (p *Process) holds(inode string) bool {
+// ownsSocket reports whether the running process owns the socket with the inode.
+func (p *Process) ownsSocket(inode string) bool {
 	cmd, _ := p.current()
 	if cmd == nil || cmd.Process == nil {
 		return false
 	}
-	return holdsSocket(cmd.Process.Pid, inode)
+	return processOwnsSocket(cmd.Process.Pid, inode)
 }
 
-// drawRegion draws a fault of the way between the regions.
-func drawRegion(random *rand.Rand) regionFault {
-	f := regionFault{For: upTo(random, regionFor)}
+// drawRegionFault returns a random fault of the link between the regions.
+func drawRegionFault(random *rand.Rand) regionFault {
+	f := regionFault{Duration: randomDuration(random, maxRegionFaultDuration)}
 	switch random.IntN(5) {
 	case 0:
 		f.Out = true
 	case 1:
 		f.In = true
 	case 2:
-		f.Slow = upTo(random, slowBy)
+		f.Slow = randomDuration(random, maxExtraLatency)
 	case 3:
-		f.Slow = fullBy
+		f.Slow = saturatedLatency
 	default:
 		f.Out, f.In = true, true
 	}
 	return f
 }
 
-// disturbRegions harms the way between the regions now and then, beside all other faults. Its
-// draws are its own, so that a seed's other faults are the same with regions and without.
-func (s *Soak) disturbRegions(ctx context.Context) int {
-	if s.Apart <= 0 {
+// injectRegionFaults repeatedly disrupts the link between the regions and returns the number of faults. It
+// uses its own random stream, so that a seed has the same other faults with and without regions.
+func (s *Soak) injectRegionFaults(ctx context.Context) int {
+	if s.RegionLatency <= 0 {
 		return 0
 	}
-	random, count := s.random(regionStream), 0
-	for time.Since(s.started) < s.For && ctx.Err() == nil {
-		pause(ctx, random, regionsEvery)
-		f := drawRegion(random)
+	random, count := s.newRand(regionFaultStream), 0
+	for time.Since(s.startedAt) < s.Duration && ctx.Err() == nil {
+		sleepRandom(ctx, random, meanRegionFaultPause)
+		f := drawRegionFault(random)
 		count++
-		s.Say("%6.2f s  region %+v", time.Since(s.started).Seconds(), f)
-		s.faulty.Add(1)
-		s.way.harm(f)
-		time.Sleep(f.For)
-		s.way.harm(regionFault{})
-		s.touched()
-		s.faulty.Add(-1)
+		s.Logf("%6.2f s  region %+v", time.Since(s.startedAt).Seconds(), f)
+		s.activeFaults.Add(1)
+		s.regionLink.setFault(f)
+		time.Sleep(f.Duration)
+		s.regionLink.setFault(regionFault{})
+		s.markDisturbance()
+		s.activeFaults.Add(-1)
 	}
 	return count
 }
 
-// regionStream numbers the random numbers of disturbRegions.
-const regionStream = 21
+// regionFaultStream is the random stream of injectRegionFaults.
+const regionFaultStream = 21
--- a/internal/soak/region_test.go
+++ b/internal/soak/region_test.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// TestWayBetweenRegions: a way that is cut one way carries no exchange, and what it held once it
-// is whole; one that is long carries it later. Connections that don't use it see nothing of it.
-func TestWayBetweenRegions(t *testing.T) {
+// TestInterRegionLink tests that the link between regions adds latency, that an interrupted link holds data
+// and delivers it afterwards, and that other connections are not affected.
+func TestInterRegionLink(t *testing.T) {
 	for _, out := range []bool{true, false} {
-		way := &Way{Apart: 30 * time.Millisecond}
-		p := &Proxy{Target: echo(t), Uses: func(net.Conn) side { return side{way: way, out: out} }}
-		near := &Proxy{Target: echo(t), Uses: func(net.Conn) side { return side{} }}
-		conn, other := dial(t, p), dial(t, near)
-		began := time.Now()
-		if err := exchange(conn, patience); err != nil {
-			t.Fatalf("an open way carries: %v", err)
+		link := &interRegionLink{Latency: 30 * time.Millisecond}
+		p := &Proxy{Target: echo(t), Direction: func(net.Conn) direction { return direction{link: link, out: out} }}
+		localProxy := &Proxy{Target: echo(t), Direction: func(net.Conn) direction { return direction{} }}
+		conn, local := dial(t, p), dial(t, localProxy)
+		startedAt := time.Now()
+		if err := roundTrip(conn, testTimeout); err != nil {
+			t.Fatalf("round trip over an open link: %v", err)
 		}
-		if took := time.Since(began); took < 2*way.Apart {
-			t.Errorf("there and back took %s, apart is %s", took, way.Apart)
+		if took := time.Since(startedAt); took < 2*link.Latency {
+			t.Errorf("round trip took %s with a one-way latency of %s", took, link.Latency)
 		}
 		for _, f := range []regionFault{{Out: true}, {In: true}, {Out: true, In: true}} {
-			way.harm(f)
-			if err := exchange(conn, 200*time.Millisecond); err == nil {
-				t.Errorf("a way with %+v carried an exchange", f)
+			link.setFault(f)
+			if err := roundTrip(conn, 200*time.Millisecond); err == nil {
+				t.Errorf("round trip succeeded with %+v", f)
 			}
-			if err := exchange(other, patience); err != nil {
-				t.Errorf("another connection: %v", err)
+			if err := roundTrip(local, testTimeout); err != nil {
+				t.Errorf("round trip within a region: %v", err)
 			}
-			way.harm(regionFault{})
-			_ = conn.SetReadDeadline(time.Now().Add(patience))
+			link.setFault(regionFault{})
+			_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 			var one [1]byte
 			if _, err := conn.Read(one[:]); err != nil {
-				t.Errorf("what the way held is lost: %v", err)
+				t.Errorf("held data is lost: %v", err)
 			}
 		}
 	}
 }
 
-// TestWhoseConnection: the process that opened a connection is told by its socket.
-func TestWhoseConnection(t *testing.T) {
+// TestPeerInode tests that the process that opened a connection is identified by its socket.
+func TestPeerInode(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,11 +57,11 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	inode := inodeOf(server)
-	if inode == "" || !holdsSocket(os.Getpid(), inode) {
-		t.Errorf("socket %q is not found at this process", inode)
+	inode := peerInode(server)
+	if inode == "" || !processOwnsSocket(os.Getpid(), inode) {
+		t.Errorf("socket %q is not attributed to this process", inode)
 	}
-	if holdsSocket(os.Getpid(), "0") || holdsSocket(os.Getppid(), inode) {
-		t.Error("a socket is found where it is not")
+	if processOwnsSocket(os.Getpid(), "0") || processOwnsSocket(os.Getppid(), inode) {
+		t.Error("a socket is attributed to the wrong process")
 	}
 }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// Faults that are a series of signals or changes, which overlap.
+// Faults that consist of several overlapping signals or changes.
 type (
-	// NodeSignals sends a node a series of signals that overlap: reloads, pauses, and stops in the
-	// planned way of a process that stops already.
+	// NodeSignals sends a node overlapping reloads, pauses and graceful stops.
 	NodeSignals struct{ Gaps []time.Duration }
-	// RollStop stops every node in the planned way, each before the one before has ended.
+	// RollStop stops all nodes gracefully in short succession, without waiting for the previous one.
 	RollStop struct{ Gap time.Duration }
-	// ConfigSeries writes configurations in quick succession.
+	// ConfigSeries writes several configurations in quick succession.
 	ConfigSeries struct {
 		Count int
 		Gap   time.Duration
@@ -23,26 +22,24 @@
 func (RollStop) isFault()     {}
 func (ConfigSeries) isFault() {}
 
-// rollStop stops all nodes in the planned way, one shortly after the other.
 func (s *Soak) rollStop(f RollStop) {
 	var stops sync.WaitGroup
-	for _, one := range s.nodes {
-		stops.Go(func() { s.stopNode(one) })
+	for _, n := range s.nodes {
+		stops.Go(func() { s.restartGracefully(n) })
 		time.Sleep(f.Gap)
 	}
 	stops.Wait()
 }
 
-// configSeries writes configurations in quick succession.
 func (s *Soak) configSeries(f ConfigSeries) {
 	for range f.Count {
-		s.configure()
-		s.configuredAt.Store(int64(time.Since(s.started)))
+		s.writeConfiguration()
+		s.configuredAt.Store(int64(time.Since(s.startedAt)))
 		time.Sleep(f.Gap)
 	}
 }
 
-// signalNode sends a node reloads, pauses and a planned stop that overlap, and starts it again.
+// signalNode sends a node overlapping reloads, pauses and graceful stops, and restarts it.
 func (s *Soak) signalNode(n *node, f NodeSignals) {
 	var stopping sync.WaitGroup
 	for i, gap := range f.Gaps {
@@ -54,10 +51,10 @@
 			time.Sleep(gap)
 			n.process.Resume()
 		default:
-			stopping.Go(func() { _ = n.process.Stop(stopGrace) })
+			stopping.Go(func() { _ = n.process.Stop(stopTimeout) })
 		}
 		time.Sleep(gap)
 	}
 	stopping.Wait()
-	s.restart(n)
+	s.startNode(n)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,9 +1,8 @@
-// Package soak runs the real programs as separate processes on loopback, injects faults
-// from outside them, and checks the promises to callers and replicas while it runs.
+// Package soak runs doorstepd processes on loopback, injects external faults, and checks the guarantees to
+// clients and replicas.
 //
-// The nodes are started from their binary. The platform's store and replicas are the
-// repository's stand-ins, within the soak's own process. Every connection between a node
-// and its surroundings passes a Proxy of its own.
+// The record store, the platform's services and the replicas are stand-ins in the process of the test. Connections
+// from nodes to the store and to replicas, and from clients to nodes, pass through a Proxy.
 package soak
 
 import (
@@ -22,82 +21,79 @@
 )
 
 const (
-	// readyWithin bounds the start of a node.
-	readyWithin = 15 * time.Second
-	// stopGrace is how long a node may take for its planned stop.
-	stopGrace = 10 * time.Second
-	// settleFor is how long the deployment may take to complete all jobs once the
-	// faults have ended.
-	settleFor = 30 * time.Second
+	// startTimeout is the maximum time until a started node serves requests.
+	startTimeout = 15 * time.Second
+	// stopTimeout is the maximum duration of a graceful shutdown.
+	stopTimeout = 10 * time.Second
+	// recoveryTimeout is how long the deployment may take to complete all jobs after the last fault.
+	recoveryTimeout = 30 * time.Second
 )
 
-// Soak is one run. Its fields are set before Run.
+// Soak is one test run. Its exported fields are set before Run.
 type Soak struct {
-	// Binary is the node's program, Dir takes settings and logs.
+	// Binary is the path of doorstepd, Dir the directory for settings and logs.
 	Binary, Dir string
-	// Seed decides the faults and the load.
+	// Seed determines the faults and the load.
 	Seed uint64
-	// For is how long faults are injected.
-	For time.Duration
-	// NodeCount and ReplicaCount are the sizes; replicas are counted by service.
+	// Duration is how long faults are injected.
+	Duration time.Duration
+	// NodeCount is the number of nodes, ReplicaCount the number of replicas per service.
 	NodeCount, ReplicaCount int
-	// Apart, unless 0, spreads nodes and replicas over two regions that lie so far apart each way;
-	// the store stands in one of them. Faults of the way between them come beside all others.
-	Apart time.Duration
-	// Say is told what happens.
-	Say func(format string, values ...any)
+	// RegionLatency, if positive, spreads nodes and replicas over two regions with this one-way latency between
+	// them, and injects faults into the link between the regions. The store is in the first region.
+	RegionLatency time.Duration
+	// Logf receives progress messages.
+	Logf func(format string, values ...any)
 
-	check     *Checker
-	homes     homes
-	way       Way
-	store     *platformtest.Store
-	server    *http.Server
-	storeAddr string
-	// duties is the platform's service for calls that one node at a time may make.
-	duties       *platformtest.Duties
-	dutiesServer *http.Server
-	dutiesAddr   string
-	nodes        []*node
-	mu           sync.Mutex
-	replicas     []*replica
-	named        int
-	version      atomic.Int64
-	config       atomic.Int64
-	// configuredAt is when the newest configuration was written, in nanoseconds since
-	// started.
+	checker    *Checker
+	homes      homes
+	regionLink interRegionLink
+	store      *platformtest.Store
+	server     *http.Server
+	storeAddr  string
+	// duties is the platform's service for calls that only one node at a time may make.
+	duties        *platformtest.Duties
+	dutiesServer  *http.Server
+	dutiesAddr    string
+	nodes         []*node
+	mu            sync.Mutex
+	replicas      []*replica
+	replicaSeq    int
+	targetVersion atomic.Int64
+	configVersion atomic.Int64
+	// configuredAt is when the latest configuration was written, in nanoseconds since startedAt.
 	configuredAt atomic.Int64
-	started      time.Time
-	// disturbedAt is when the last fault that touches nodes or the store ended, in
-	// nanoseconds since started; faulty counts those under way.
-	disturbedAt atomic.Int64
-	faulty      atomic.Int32
-	links       linkHarm
+	startedAt    time.Time
+	// lastDisturbance is when the last fault that affects nodes or the store ended, in nanoseconds since startedAt.
+	// activeFaults is the number of such faults in progress.
+	lastDisturbance atomic.Int64
+	activeFaults    atomic.Int32
+	linkFaults      linkFaultCounter
 }
 
-// node is one process of the system with its links.
+// node is a doorstepd process with its links.
 type node struct {
 	name     string
 	zone     string
 	process  *Process
 	settings string
-	// toStore is its link to the store, toClients that of its clients.
+	// toStore is the link to the store, toClients the link from the clients.
 	toStore, toClients *Proxy
 	address            string
-	// starting is held while it is started: two faults that end at once must not start it
-	// twice, as the first process would be forgotten and left behind.
-	starting sync.Mutex
-	// lives counts its starts; planned is set during a planned stop.
-	lives   atomic.Int32
-	planned atomic.Bool
+	// startMu prevents concurrent starts, which would leave a process running after the test.
+	startMu sync.Mutex
+	// starts counts the starts of the process. stopping is set during a graceful shutdown.
+	starts   atomic.Int32
+	stopping atomic.Bool
 }
 
-// replica is a stand-in replica behind its link.
+// replica is a stand-in replica with its link.
 type replica struct {
 	*platformtest.Replica
 	link *Proxy
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run. Its field names are part of the JSON output.
 type Report struct {
 	Seed       uint64
 	Violations []string
@@ -105,45 +101,45 @@
 	Faults     map[string]int
 }
 
-// Run runs the soak; an error means that it could not be carried out.
+// Run executes the test. It returns an error if the test could not be carried out; violations are in the report.
 func (s *Soak) Run(ctx context.Context) (Report, error) {
-	s.check = NewChecker()
-	s.started = time.Now()
-	s.way.Apart = s.Apart
-	defer s.end()
-	if err := s.build(); err != nil {
+	s.checker = NewChecker()
+	s.startedAt = time.Now()
+	s.regionLink.Latency = s.RegionLatency
+	defer s.close()
+	if err := s.setUp(); err != nil {
 		return Report{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var load sync.WaitGroup
 	s.startLoad(ctx, &load)
 	regions := make(chan int, 1)
-	go func() { regions <- s.disturbRegions(ctx) }()
+	go func() { regions <- s.injectRegionFaults(ctx) }()
 	evacuated := s.startEvacuations(ctx)
-	faults := s.disturb(ctx)
+	faults := s.injectFaults(ctx)
 	faults["evacuations"] = evacuated()
 	if count := <-regions; count > 0 {
 		faults["regions"] = count
 	}
-	s.heal()
-	healedAt := time.Now()
-	s.settle(ctx, healedAt)
-	s.drainEach()
-	s.evacuateInCalm()
-	s.check.CheckWhole(time.Now(), healedAt, settleFor)
+	s.clearFaults()
+	clearedAt := time.Now()
+	s.awaitRecovery(ctx, clearedAt)
+	s.drainOnePerService()
+	s.evacuateUndisturbed()
+	s.checker.CheckCompletion(time.Now(), clearedAt, recoveryTimeout)
 	cancel()
 	load.Wait()
 	for _, window := range s.duties.Conflicts() {
-		s.check.Violate("window %d was reported with counts that differ", window)
+		s.checker.AddViolation("usage window %d was reported with different counts", window)
 	}
-	s.check.Add("windows of use reported", len(s.duties.Reports()))
+	s.checker.Add("windows of use reported", len(s.duties.Reports()))
 	s.stopAll()
-	return Report{Seed: s.Seed, Violations: s.check.Violations(), Counts: s.check.Counts(), Faults: faults}, nil
+	return Report{Seed: s.Seed, Violations: s.checker.Violations(), Counts: s.checker.Counts(), Faults: faults}, nil
 }
 
-func (s *Soak) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
+func (s *Soak) newRand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, stream)) }
 
-func (s *Soak) build() error {
+func (s *Soak) setUp() error {
 	if err := os.MkdirAll(s.Dir, 0o755); err != nil {
 		return err
 	}
@@ -163,8 +159,8 @@
 	s.dutiesAddr = dutiesListener.Addr().String()
 	s.dutiesServer = &http.Server{Handler: s.duties, ReadHeaderTimeout: time.Minute}
 	go func() { _ = s.dutiesServer.Serve(dutiesListener) }()
-	s.version.Store(1)
-	s.configure()
+	s.targetVersion.Store(1)
+	s.writeConfiguration()
 	for range s.ReplicaCount {
 		for _, kind := range []struct{ service, model string }{
 			{platformtest.PlainService, ""}, {platformtest.ModelService, platformtest.Model}, {platformtest.ScoringService, ""},
@@ -181,42 +177,42 @@
 	}
 	for _, n := range s.nodes {
 		if !s.waitReady(n) {
-			return fmt.Errorf("%s did not serve within %s", n.name, readyWithin)
+			return fmt.Errorf("%s was not ready within %s", n.name, startTimeout)
 		}
 	}
 	return nil
 }
 
 const (
-	// tenant is the one of all callers, lastingKey the key that none of the configurations
-	// takes away.
-	tenant     = "houses"
-	lastingKey = "lasting-key"
+	// tenant is the tenant of all clients, permanentKey the API key that all configurations contain.
+	tenant       = "houses"
+	permanentKey = "lasting-key"
 )
 
-// generationKey is the key that one configuration alone allows.
+// generationKey returns the API key that only one version of the configuration contains.
 func generationKey(version int64) string { return fmt.Sprintf("key-of-%d", version) }
 
-// configure writes the next configuration; its version names a route of its own.
-func (s *Soak) configure() int64 {
-	version := s.config.Load() + 1
-	s.store.Put("op", "config", platformtest.WithTenants(withHomes(coldServices(platformtest.Generation(int(version)))), platformtest.Tenant{
-		Name: tenant, Keys: []string{lastingKey, generationKey(version)},
+// writeConfiguration writes and returns the next version of the configuration, which contains a route named after
+// the version.
+func (s *Soak) writeConfiguration() int64 {
+	version := s.configVersion.Load() + 1
+	s.store.Put("op", "config", platformtest.WithTenants(withHomes(withColdLimits(platformtest.Generation(int(version)))), platformtest.Tenant{
+		Name: tenant, Keys: []string{permanentKey, generationKey(version)},
 	}))
-	s.config.Store(version)
+	s.configVersion.Store(version)
 	return version
 }
 
 func (s *Soak) addReplica(service, model string) error {
 	s.mu.Lock()
-	s.named++
-	id := fmt.Sprintf("%s-%d", service, s.named)
+	s.replicaSeq++
+	id := fmt.Sprintf("%s-%d", service, s.replicaSeq)
 	s.mu.Unlock()
 	zone := s.zoneFor(service)
-	link := &Proxy{Uses: s.toReplica(zone)}
+	link := &Proxy{Direction: s.replicaDirection(zone)}
 	cold := &coldReplica{id: id, link: link}
 	cfg := platformtest.ReplicaConfig{
-		ID: id, Service: service, Model: model, Zone: zone, Version: s.version.Load(), Versioned: true, Pace: 15 * time.Millisecond,
+		ID: id, Service: service, Model: model, Zone: zone, Version: s.targetVersion.Load(), Versioned: true, Pace: 15 * time.Millisecond,
 		Via: func(address string) string {
 			if link.Target != "" {
 				return link.listener.Addr().String()
@@ -224,41 +220,41 @@
 			link.Target = address
 			listed, err := link.Listen()
 			if err != nil {
-				panic("no loopback port: " + err.Error())
+				panic("listening on loopback: " + err.Error())
 			}
 			return listed
 		},
-		CrashOn: poisonBody(service), OnCrash: func(string) { s.crashed(id) },
-		ColdFor: s.coldFor(), OnArrival: func(string) { s.check.coldArrived(cold) },
+		CrashOn: crashBody(service), OnCrash: func(string) { s.onCrash(id) },
+		ColdFor: s.coldDurationAtStart(), OnArrival: func(string) { s.checker.RecordColdArrival(cold) },
 		OnRun: func(request string) {
-			if wrong := s.homes.kept(id, zone, request); wrong != "" {
-				s.check.Violate("%s", wrong)
+			if violation := s.homes.checkRegion(id, zone, request); violation != "" {
+				s.checker.AddViolation("%s", violation)
 			}
-			s.check.Ran(id, request)
+			s.checker.RecordRun(id, request)
 		},
-		OnWhole:  s.check.MadeWhole,
-		OnFailed: s.check.Failed,
-		OnOrder:  s.check.Ordered,
+		OnWhole:  s.checker.RecordCompletedItem,
+		OnFailed: s.checker.RecordFailure,
+		OnOrder:  s.checker.RecordOrder,
 	}
-	one, err := platformtest.StartReplicaConfig(s.store, cfg)
+	started, err := platformtest.StartReplicaConfig(s.store, cfg)
 	if err != nil {
 		return err
 	}
-	one.OnHeader(s.check.Head)
-	cold.of.Store(one)
+	started.OnHeader(s.checker.CheckHeader)
+	cold.replica.Store(started)
 	s.mu.Lock()
-	s.replicas = append(s.replicas, &replica{Replica: one, link: link})
+	s.replicas = append(s.replicas, &replica{Replica: started, link: link})
 	s.mu.Unlock()
 	return nil
 }
 
-// largeListOf lets every second node follow the list of replicas only while it has use for it, as nodes of
-// a large deployment do.
-func largeListOf(number int) int { return number % 2 }
+// largeListSetting returns the large_list setting of a node. It is 1 for every second node, so that these
+// nodes watch the list of replicas only while they need it, as nodes of a large deployment do.
+func largeListSetting(number int) int { return number % 2 }
 
 func (s *Soak) addNode(name string) error {
 	zone := zones[len(s.nodes)%len(zones)]
-	toStore := &Proxy{Target: s.storeAddr, Uses: func(net.Conn) side { return s.between(zone, nearZone) }}
+	toStore := &Proxy{Target: s.storeAddr, Direction: func(net.Conn) direction { return s.directionBetween(zone, nearZone) }}
 	n := &node{name: name, zone: zone, toStore: toStore, settings: filepath.Join(s.Dir, name+".yaml")}
 	var addresses [3]string
 	for i := range addresses {
@@ -284,7 +280,7 @@
 cold: {overshoot: 1.5, slack: 5}
 duties: {address: %q, kinds: "usage_reporting", fenced: true, calls_per_s: 50, usage_window_s: 2, usage_late_s: 8}
 log: {level: info, json: true}
-`, name, zone, regionsFor(zone), addresses[0], addresses[1], addresses[2], store, largeListOf(len(s.nodes)), s.dutiesAddr)
+`, name, zone, regionSettings(zone), addresses[0], addresses[1], addresses[2], store, largeListSetting(len(s.nodes)), s.dutiesAddr)
 	if err := os.WriteFile(n.settings, []byte(settings), 0o644); err != nil {
 		return err
 	}
@@ -299,23 +295,23 @@
 	return n.start()
 }
 
-// start starts the node unless it runs.
+// start starts the process unless it is running.
 func (n *node) start() error {
-	n.starting.Lock()
-	defer n.starting.Unlock()
+	n.startMu.Lock()
+	defer n.startMu.Unlock()
 	if n.process.Running() {
 		return nil
 	}
-	n.lives.Add(1)
-	n.planned.Store(false)
+	n.starts.Add(1)
+	n.stopping.Store(false)
 	return n.process.Start()
 }
 
 func (s *Soak) waitReady(n *node) bool {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		answer := platformtest.Client{}.Send(context.Background(), platformtest.Call{
-			Address: n.address, Method: http.MethodPost, Path: platformtest.GenerationPath(int(s.config.Load())),
-			ID: fmt.Sprintf("ready-%s-%d", n.name, time.Now().UnixNano()), Key: lastingKey, Deadline: time.Second,
+			Address: n.address, Method: http.MethodPost, Path: platformtest.GenerationPath(int(s.configVersion.Load())),
+			ID: fmt.Sprintf("ready-%s-%d", n.name, time.Now().UnixNano()), Key: permanentKey, Deadline: time.Second,
 		})
 		if answer.Err == nil && answer.Status == http.StatusOK {
 			return true
@@ -324,19 +320,19 @@
 	return false
 }
 
-// touched notes that nodes or the store were disturbed until now.
-func (s *Soak) touched() { s.disturbedAt.Store(int64(time.Since(s.started))) }
+// markDisturbance records that nodes or the store were affected by a fault until now.
+func (s *Soak) markDisturbance() { s.lastDisturbance.Store(int64(time.Since(s.startedAt))) }
 
-// calmFor returns for how long neither nodes nor the store were disturbed.
-func (s *Soak) calmFor() time.Duration {
-	if s.faulty.Load() > 0 {
+// undisturbedFor returns how long no fault has affected nodes or the store.
+func (s *Soak) undisturbedFor() time.Duration {
+	if s.activeFaults.Load() > 0 {
 		return 0
 	}
-	return time.Since(s.started) - time.Duration(s.disturbedAt.Load())
+	return time.Since(s.startedAt) - time.Duration(s.lastDisturbance.Load())
 }
 
-// heal ends every fault that is left.
-func (s *Soak) heal() {
+// clearFaults ends all faults and starts all stopped nodes.
+func (s *Soak) clearFaults() {
 	s.store.Silent.Store(false)
 	s.store.Refusing.Store(false)
 	s.store.Losing.Store(false)
@@ -354,23 +350,23 @@
 	for _, r := range s.replicas {
 		r.link.SetMode(LinkOpen)
 		r.link.SetDelay(0)
-		healReplica(r)
+		clearReplicaFaults(r)
 	}
-	s.touched()
+	s.markDisturbance()
 }
 
-// settle waits until all jobs are whole that were accepted before the last fault ended. The
-// load goes on meanwhile, so there may always be younger ones under way.
-func (s *Soak) settle(ctx context.Context, healedAt time.Time) {
-	for end := healedAt.Add(settleFor); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
-		if len(s.check.Missing(healedAt)) == 0 {
+// awaitRecovery waits until all jobs that were accepted before clearedAt are complete, and reports the others after
+// recoveryTimeout. The load continues meanwhile, so newer jobs may still be running.
+func (s *Soak) awaitRecovery(ctx context.Context, clearedAt time.Time) {
+	for end := clearedAt.Add(recoveryTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
+		if len(s.checker.IncompleteJobs(clearedAt)) == 0 {
 			return
 		}
 	}
-	s.check.CheckWhole(time.Now(), healedAt, settleFor)
+	s.checker.CheckCompletion(time.Now(), clearedAt, recoveryTimeout)
 }
 
-// stopAll stops every node in the planned way.
+// stopAll stops all nodes gracefully.
 func (s *Soak) stopAll() {
 	var stops sync.WaitGroup
 	for _, n := range s.nodes {
@@ -378,16 +374,16 @@
 			if !n.process.Running() {
 				return
 			}
-			if err := n.process.Stop(stopGrace); err != nil {
-				s.check.Violate("%s: %s", n.name, err)
+			if err := n.process.Stop(stopTimeout); err != nil {
+				s.checker.AddViolation("%s: %s", n.name, err)
 			}
 		})
 	}
 	stops.Wait()
 }
 
-// end frees what the run holds, whatever became of it.
-func (s *Soak) end() {
+// close releases all resources of the run.
+func (s *Soak) close() {
 	for _, n := range s.nodes {
 		if n.process.Running() {
 			n.process.Resume()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestNodeIsStartedOnce: two faults of one node that ended at once started it twice, and the
-// first process outlived the soak.
+// TestNodeIsStartedOnce tests that concurrent starts create a single process, so that none outlives the test.
 func TestNodeIsStartedOnce(t *testing.T) {
 	log, err := os.CreateTemp(t.TempDir(), "log")
 	if err != nil {
@@ -24,7 +23,7 @@
 	}
 	starts.Wait()
 	defer n.process.Kill()
-	if lives := n.lives.Load(); lives != 1 {
+	if lives := n.starts.Load(); lives != 1 {
 		t.Errorf("the program was started %d times", lives)
 	}
 }
--- a/internal/soak/socket.go
+++ b/internal/soak/socket.go
@@ -9,9 +9,9 @@
 	"syscall"
 )
 
-// Sizes and offsets of the kernel's messages on sockets (linux/inet_diag.h): a request names one
-// socket by its two ends, the answer tells its inode. The table of all sockets (/proc/net/tcp) told
-// the same, and took 20 ms a look on a machine with 9,000 of them.
+// Sizes and offsets of the kernel's socket diagnostics messages (linux/inet_diag.h). A request identifies a
+// socket by its two addresses, and the response contains its inode. Reading /proc/net/tcp instead is too slow
+// on machines with many sockets.
 const (
 	netlinkInetDiag  = 4
 	diagByFamily     = 20
@@ -24,8 +24,8 @@
 	diagCookieAt     = diagTargetAt + 16 + 4
 )
 
-// inodeOf returns the inode of the other end's socket of a loopback connection, empty if it is gone.
-func inodeOf(conn net.Conn) string {
+// peerInode returns the inode of the peer's socket of a loopback connection, empty if it is closed.
+func peerInode(conn net.Conn) string {
 	remote, isTCP := conn.RemoteAddr().(*net.TCPAddr)
 	local, isLocalTCP := conn.LocalAddr().(*net.TCPAddr)
 	if !isTCP || !isLocalTCP {
@@ -39,15 +39,15 @@
 	if err := syscall.Sendto(fd, diagRequest(remote, local), 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
 		return ""
 	}
-	answer := make([]byte, os.Getpagesize())
-	n, _, err := syscall.Recvfrom(fd, answer, 0)
-	if err != nil || n < diagInodeAt+4 || binary.NativeEndian.Uint16(answer[4:]) != diagByFamily {
+	response := make([]byte, os.Getpagesize())
+	n, _, err := syscall.Recvfrom(fd, response, 0)
+	if err != nil || n < diagInodeAt+4 || binary.NativeEndian.Uint16(response[4:]) != diagByFamily {
 		return ""
 	}
-	return strconv.Itoa(int(binary.NativeEndian.Uint32(answer[diagInodeAt:])))
+	return strconv.Itoa(int(binary.NativeEndian.Uint32(response[diagInodeAt:])))
 }
 
-// diagRequest asks for the TCP socket that has one address and is connected to another.
+// diagRequest returns a request for the TCP socket with the given local and remote addresses.
 func diagRequest(source, target *net.TCPAddr) []byte {
 	const header = syscall.SizeofNlMsghdr
 	request := make([]byte, header+diagRequestBytes)
@@ -55,7 +55,7 @@
 	binary.NativeEndian.PutUint16(request[4:], diagByFamily)
 	binary.NativeEndian.PutUint16(request[6:], syscall.NLM_F_REQUEST)
 	request[header], request[header+1] = syscall.AF_INET, syscall.IPPROTO_TCP
-	// Any state, and no cookie.
+	// Match any state and any cookie.
 	binary.NativeEndian.PutUint32(request[header+4:], ^uint32(0))
 	binary.BigEndian.PutUint16(request[diagSourcePortAt:], uint16(source.Port))
 	binary.BigEndian.PutUint16(request[diagTargetPortAt:], uint16(target.Port))
@@ -65,8 +65,8 @@
 	return request
 }
 
-// holdsSocket reports whether a process holds the socket with an inode.
-func holdsSocket(pid int, inode string) bool {
+// processOwnsSocket reports whether a process owns the socket with the inode.
+func processOwnsSocket(pid int, inode string) bool {
 	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/soak/text.go
+++ b/internal/soak/text.go
@@ -10,9 +10,9 @@
 	"github.com/doorstep/doorstep/platform/platformtest"
 )
 
-// versionsOf checks that a result's text is its item's whole output and returns the
-// versions, in order, that its events say made them.
-func versionsOf(result platformtest.Result) ([]int64, error) {
+// eventVersions checks that the text of a result is complete and returns the versions that generated its
+// events, sorted.
+func eventVersions(result platformtest.Result) ([]int64, error) {
 	events := strings.Split(result.Message, "\n")
 	if int64(len(events)) != model.ItemEvents(result.ID) {
 		return nil, fmt.Errorf("%d of %d events", len(events), model.ItemEvents(result.ID))
