--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -12,8 +12,8 @@
 
 // Exit codes of all programs.
 const (
-	// ExitDone means success.
-	ExitDone = 0
+	// ExitSuccess means success.
+	ExitSuccess = 0
 	// ExitFailed means that an operation failed for an external reason.
 	ExitFailed = 1
 	// ExitUsage means invalid arguments, settings or statements.
@@ -50,7 +50,7 @@
 	root.ExitErrHandler = func(context.Context, *cli.Command, error) {}
 	err := root.Run(ctx, arguments)
 	if err == nil {
-		return ExitDone
+		return ExitSuccess
 	}
 	var exit *Error
 	if !errors.As(err, &exit) {
--- a/internal/command/daemoncli/daemoncli_test.go
+++ b/internal/command/daemoncli/daemoncli_test.go
@@ -23,7 +23,7 @@
 		arguments []string
 		code      int
 	}{
-		{"valid", []string{"check-settings", "--settings", good}, command.ExitDone},
+		{"valid", []string{"check-settings", "--settings", good}, command.ExitSuccess},
 		{"invalid flag value", []string{"check-settings", "--settings", good, "--listen-requests", "nowhere"}, command.ExitUsage},
 		{"invalid", []string{"check-settings", "--settings", broken}, command.ExitUsage},
 		{"missing file", []string{"check-settings", "--settings", broken + "x"}, command.ExitUsage},
