--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -384,7 +384,7 @@
 func (decoder) LengthHint(http.Header) int { return 0 }
 
 // Tokens are the most that any text of the simulation has, an event for each.
-func (decoder) Tokens(http.Header) (prompt, most int) { return 0, model.MostItemEvents }
+func (decoder) Tokens(http.Header) (prompt, most int) { return 0, model.MaxItemEvents }
 
 // DecodeDeployment reads JSON.
 func (decoder) DecodeDeployment(records []port.Record) port.Deployment {
--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -37,8 +37,8 @@
 // One in longItemOneIn items has a much longer text.
 const longItemOneIn = 8
 
-// MostItemEvents is the maximum number of events of an item.
-const MostItemEvents = 120
+// MaxItemEvents is the maximum number of events of an item.
+const MaxItemEvents = 120
 
 // ItemEvents returns the number of events of an item. It is derived from the ID.
 func ItemEvents(item string) int64 {
