--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -55,7 +55,7 @@
 		pace = pace * 13 / 10
 	}
 	return w.startReplica(&replica{
-		Generator: &model.Generator{ID: fmt.Sprintf("replica-%d", w.check.incarnations), StartedAt: w.Now.Truncate(time.Millisecond), Slots: replicaSlots, Pace: pace, LoadFor: loadTime, Versions: versions, Unfenced: w.options.Unfenced},
+		Generator: &model.Generator{ID: fmt.Sprintf("replica-%d", w.check.incarnations), StartedAt: w.Now.Truncate(time.Millisecond), Slots: replicaSlots, Pace: pace, LoadDuration: loadTime, Versions: versions, Unfenced: w.options.Unfenced},
 		address:   address, zone: fmt.Sprintf("zone-%d", len(w.replicas)%zoneCount),
 	})
 }
--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -18,9 +18,9 @@
 	StartedAt time.Time
 	// Slots is the number of concurrent runs, Pace the time between two events of a run, LoadFor the duration of
 	// a version load.
-	Slots   int
-	Pace    time.Duration
-	LoadFor time.Duration
+	Slots        int
+	Pace         time.Duration
+	LoadDuration time.Duration
 	// Versions are the loaded weight versions by model.
 	Versions map[string]int64
 	// Unfenced disables the rejection of orders with an old fence.
@@ -93,7 +93,7 @@
 func (g *Generator) Restart(now time.Time) *Generator {
 	g.finishLoad(now)
 	return &Generator{
-		ID: g.ID, StartedAt: now.Truncate(time.Millisecond), Slots: g.Slots, Pace: g.Pace, LoadFor: g.LoadFor, Versions: g.Versions, Unfenced: g.Unfenced,
+		ID: g.ID, StartedAt: now.Truncate(time.Millisecond), Slots: g.Slots, Pace: g.Pace, LoadDuration: g.LoadDuration, Versions: g.Versions, Unfenced: g.Unfenced,
 	}
 }
 
@@ -114,7 +114,7 @@
 	g.sequence++
 	g.loading = order.Model
 	g.loadTo = order.Version
-	g.loadUntil = now.Add(g.LoadFor)
+	g.loadUntil = now.Add(g.LoadDuration)
 	return port.VersionOrderAccepted
 }
 
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -47,7 +47,7 @@
 	b.start("a", 1)
 	for i := range replicas {
 		id := fmt.Sprintf("r%d", i)
-		b.generators[id] = &model.Generator{ID: id, Slots: 4, LoadFor: 900 * time.Millisecond, Versions: map[string]int64{"m": 1}}
+		b.generators[id] = &model.Generator{ID: id, Slots: 4, LoadDuration: 900 * time.Millisecond, Versions: map[string]int64{"m": 1}}
 		b.endpoints = append(b.endpoints, &endpoint.Endpoint{ReplicaRecord: port.ReplicaRecord{ID: id, Address: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}}})
 	}
 	return b
