--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -243,7 +243,7 @@
 		case w.Now.Sub(lastAt) >= silence:
 			one.end(task.RunInterrupted)
 			return
-		case r.dark > 0 || w.link.cut(r.zone, one.node.zone) || r.Pausing(w.Now, one.model):
+		case r.dark > 0 || w.link.cut(r.zone, one.node.zone) || r.IsLoading(w.Now, one.model):
 			one.next(id, lastAt)
 			return
 		case r.breaking > 0 && w.random.IntN(30) == 0:
--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -68,8 +68,8 @@
 // Running returns the number of current runs.
 func (g *Generator) Running() int { return g.running }
 
-// Pausing reports whether runs of a model are paused because a version of it is being loaded.
-func (g *Generator) Pausing(now time.Time, model string) bool {
+// IsLoading reports whether runs of a model are paused because a version of it is being loaded.
+func (g *Generator) IsLoading(now time.Time, model string) bool {
 	g.finishLoad(now)
 	return g.loading == model
 }
