--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -13,8 +13,8 @@
 
 // Limits of the platform's record store.
 const (
-	// RecordBytes is the maximum size of a value. TransactionEntries and TransactionBytes limit a transaction.
-	RecordBytes        = 65536
+	// MaxRecordBytes is the maximum size of a value. TransactionEntries and TransactionBytes limit a transaction.
+	MaxRecordBytes     = 65536
 	TransactionEntries = 100
 	TransactionBytes   = 1 << 20
 	// RangeRecords is the maximum number of records returned by a range.
@@ -113,7 +113,7 @@
 	for _, one := range transaction.Puts {
 		partitions[one.Partition] = true
 		size += len(one.Value) * 4 / 3
-		if len(one.Value) > RecordBytes {
+		if len(one.Value) > MaxRecordBytes {
 			return false
 		}
 	}
