--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -14,9 +14,9 @@
 // Limits of the platform's record store.
 const (
 	// MaxRecordBytes is the maximum size of a value. TransactionEntries and TransactionBytes limit a transaction.
-	MaxRecordBytes     = 65536
-	TransactionEntries = 100
-	TransactionBytes   = 1 << 20
+	MaxRecordBytes        = 65536
+	MaxTransactionEntries = 100
+	TransactionBytes      = 1 << 20
 	// RangeRecords is the maximum number of records returned by a range.
 	RangeRecords = 500
 )
@@ -120,7 +120,7 @@
 	for _, one := range transaction.Deletes {
 		partitions[one.Partition] = true
 	}
-	return entries <= TransactionEntries && size <= TransactionBytes && len(partitions) <= 1
+	return entries <= MaxTransactionEntries && size <= TransactionBytes && len(partitions) <= 1
 }
 
 func (r *Records) set(now time.Time, record port.Record) {
