--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -16,7 +16,7 @@
 	// MaxRecordBytes is the maximum size of a value. TransactionEntries and TransactionBytes limit a transaction.
 	MaxRecordBytes        = 65536
 	MaxTransactionEntries = 100
-	TransactionBytes      = 1 << 20
+	MaxTransactionBytes   = 1 << 20
 	// RangeRecords is the maximum number of records returned by a range.
 	RangeRecords = 500
 )
@@ -120,7 +120,7 @@
 	for _, one := range transaction.Deletes {
 		partitions[one.Partition] = true
 	}
-	return entries <= MaxTransactionEntries && size <= TransactionBytes && len(partitions) <= 1
+	return entries <= MaxTransactionEntries && size <= MaxTransactionBytes && len(partitions) <= 1
 }
 
 func (r *Records) set(now time.Time, record port.Record) {
@@ -157,7 +157,7 @@
 	size := 0
 	for i, row := range result.Records {
 		size += len(row.Value)
-		if i > 0 && size > TransactionBytes || i >= limit {
+		if i > 0 && size > MaxTransactionBytes || i >= limit {
 			result.Records = result.Records[:i]
 			result.More = true
 			break
