--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -17,8 +17,8 @@
 	MaxRecordBytes        = 65536
 	MaxTransactionEntries = 100
 	MaxTransactionBytes   = 1 << 20
-	// RangeRecords is the maximum number of records returned by a range.
-	RangeRecords = 500
+	// MaxRangeRecords is the maximum number of records returned by a range.
+	MaxRangeRecords = 500
 )
 
 // RecordsOptions configures Records.
@@ -150,7 +150,7 @@
 		}
 	}
 	slices.SortFunc(result.Records, func(a, b port.Record) int { return cmp.Compare(a.Key, b.Key) })
-	limit := RangeRecords
+	limit := MaxRangeRecords
 	if query.Limit > 0 {
 		limit = min(limit, query.Limit)
 	}
