--- a/internal/simulation/clustersim/fault.go
+++ b/internal/simulation/clustersim/fault.go
@@ -124,7 +124,7 @@
 func forget(w *World, lasts time.Duration) {
 	w.store.troubledAt = w.Now.Add(lasts)
 	w.store.records.Hush(w.Now.Add(lasts))
-	w.After(lasts, w.store.records.Forget)
+	w.After(lasts, w.store.records.CompactHistory)
 }
 
 func killNode(w *World, lasts time.Duration) { w.anyNode().kill(lasts) }
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -287,12 +287,12 @@
 func (s *Soak) applyStoreFault(fault StoreFault) {
 	switch fault.Kind {
 	case StoreForget:
-		s.store.Records.Forget()
+		s.store.Records.CompactHistory()
 		return
 	case StoreHush:
 		s.store.Records.Hush(time.Now().Add(time.Second))
 		time.Sleep(time.Second)
-		s.store.Records.Forget()
+		s.store.Records.CompactHistory()
 		return
 	case StoreSlow:
 		s.store.SlowBy.Store(int64(200 * time.Millisecond))
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -187,8 +187,8 @@
 	return result, r.changed
 }
 
-// Forget compacts the entire history, which ends watches from earlier revisions.
-func (r *Records) Forget() {
+// CompactHistory compacts the entire history, which ends watches from earlier revisions.
+func (r *Records) CompactHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.compactedRevision = r.revision
