--- a/internal/simulation/clustersim/fault.go
+++ b/internal/simulation/clustersim/fault.go
@@ -123,7 +123,7 @@
 
 func forget(w *World, lasts time.Duration) {
 	w.store.troubledAt = w.Now.Add(lasts)
-	w.store.records.Hush(w.Now.Add(lasts))
+	w.store.records.MuteWatches(w.Now.Add(lasts))
 	w.After(lasts, w.store.records.CompactHistory)
 }
 
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -290,7 +290,7 @@
 		s.store.Records.CompactHistory()
 		return
 	case StoreHush:
-		s.store.Records.Hush(time.Now().Add(time.Second))
+		s.store.Records.MuteWatches(time.Now().Add(time.Second))
 		time.Sleep(time.Second)
 		s.store.Records.CompactHistory()
 		return
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -197,8 +197,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Hush withholds changes from watches until the given time. Writes proceed normally.
-func (r *Records) Hush(until time.Time) {
+// MuteWatches withholds changes from watches until the given time. Writes proceed normally.
+func (r *Records) MuteWatches(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchesMutedUntil = until
