--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -21,8 +21,8 @@
 	MaxRangeRecords = 500
 )
 
-// RecordsOptions configures Records.
-type RecordsOptions struct {
+// RecordStoreOptions configures Records.
+type RecordStoreOptions struct {
 	// WritesPerSecond and ReadsPerSecond are rate limits; 0 means unlimited.
 	WritesPerSecond, ReadsPerSecond float64
 	// History is how long changes are kept for watches; 0 means forever.
@@ -33,7 +33,7 @@
 // watches over a history that can be compacted. It is safe for concurrent use.
 type Records struct {
 	mu       sync.Mutex
-	options  RecordsOptions
+	options  RecordStoreOptions
 	started  time.Time
 	revision int64
 	rows     map[port.RecordKey]port.Record
@@ -53,7 +53,7 @@
 }
 
 // NewRecords returns an empty store.
-func NewRecords(now time.Time, options RecordsOptions) *Records {
+func NewRecords(now time.Time, options RecordStoreOptions) *Records {
 	r := &Records{options: options, started: now, rows: map[port.RecordKey]port.Record{}, changed: make(chan struct{})}
 	if options.WritesPerSecond > 0 {
 		r.writes = rate.NewLimiter(rate.Limit(options.WritesPerSecond), int(options.WritesPerSecond/4)+1)
