--- a/internal/process/cluster/census_test.go
+++ b/internal/process/cluster/census_test.go
@@ -38,7 +38,7 @@
 // TestCensus: the holder counts the nodes that told of themselves of late, page by page, and tells the others
 // of a count that has changed much.
 func TestCensus(t *testing.T) {
-	n, store := newNode(), model.NewRecords(start, model.RecordStoreOptions{})
+	n, store := newNode(), model.NewRecordStore(start, model.RecordStoreOptions{})
 	holdLease(t, n, store)
 	put := func(name string, age time.Duration) {
 		value, err := proto.Marshal(&doorstepv1.NodeStatus{AtMs: (time.Hour - age).Milliseconds()})
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -46,7 +46,7 @@
 
 func newColdNode() *coldNode {
 	c := &coldNode{Clock: virtual.Clock{Now: start}, sent: map[string][]time.Time{}, cold: map[string]time.Time{}}
-	c.store = model.NewRecords(start, model.RecordStoreOptions{WritesPerSecond: 1500, ReadsPerSecond: 6000, History: 20 * time.Second})
+	c.store = model.NewRecordStore(start, model.RecordStoreOptions{WritesPerSecond: 1500, ReadsPerSecond: 6000, History: 20 * time.Second})
 	c.Node = New(start, Options{
 		Name: "n", Topology: port.Topology{Zone: "z"}, Incarnation: 1, Decoder: coldDecoder{}, OrderPause: time.Second,
 		Cold: settings.Cold{Overshoot: 1.5, Slack: 5},
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -56,7 +56,7 @@
 var callersRoute = &port.Route{Name: "r", Kind: port.RouteIdempotent, Backends: []port.Backend{{Service: "callers", Weight: 1}}}
 
 func newLargeDeployment(t *testing.T, replicas int) *largeDeployment {
-	d := &largeDeployment{t: t, now: start, store: model.NewRecords(start, model.RecordStoreOptions{History: time.Minute})}
+	d := &largeDeployment{t: t, now: start, store: model.NewRecordStore(start, model.RecordStoreOptions{History: time.Minute})}
 	d.put("operator", "config", port.ReplicaRecord{})
 	for i := range replicas {
 		d.list(i, false)
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -34,7 +34,7 @@
 
 func newMany(seed uint64, gates int) *many {
 	m := &many{Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 1)), frozen: make([]time.Time, gates)}
-	m.store = model.NewRecords(m.Now, model.RecordStoreOptions{WritesPerSecond: 800, ReadsPerSecond: 800, History: time.Minute})
+	m.store = model.NewRecordStore(m.Now, model.RecordStoreOptions{WritesPerSecond: 800, ReadsPerSecond: 800, History: time.Minute})
 	// Each knows the store's clock with an error of its own: some milliseconds, or up to a second.
 	doubt := []time.Duration{10 * time.Millisecond, time.Second}[seed%2]
 	for i := range gates {
@@ -164,7 +164,7 @@
 func exact() (*Gate, *task.Queue, *model.Records) {
 	queue := &task.Queue{}
 	clock := func(now time.Time) (time.Duration, time.Duration, bool) { return now.Sub(epoch), now.Sub(epoch), true }
-	return New(Options{Self: "n", Queue: queue, Clock: clock}), queue, model.NewRecords(epoch, model.RecordStoreOptions{WritesPerSecond: 100, ReadsPerSecond: 100, History: time.Minute})
+	return New(Options{Self: "n", Queue: queue, Clock: clock}), queue, model.NewRecordStore(epoch, model.RecordStoreOptions{WritesPerSecond: 100, ReadsPerSecond: 100, History: time.Minute})
 }
 
 func carryOut(now time.Time, queue *task.Queue, store *model.Records) (writes int) {
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -31,7 +31,7 @@
 }
 
 func newBench(nodes int) *bench {
-	b := &bench{now: epoch, records: model.NewRecords(epoch, model.RecordStoreOptions{}), status: port.RecordDone}
+	b := &bench{now: epoch, records: model.NewRecordStore(epoch, model.RecordStoreOptions{}), status: port.RecordDone}
 	for i := range nodes {
 		queue := &task.Queue{}
 		b.nodes = append(b.nodes, &node{queue: queue, Quarantine: New(Options{
--- a/internal/simulation/clustersim/store.go
+++ b/internal/simulation/clustersim/store.go
@@ -32,7 +32,7 @@
 func count(calls map[int]int, now time.Time) { calls[int(now.Sub(epoch)/time.Second)]++ }
 
 func newStore(w *World) *store {
-	return &store{world: w, reads: map[int]int{}, writes: map[int]int{}, watches: map[int]int{}, records: model.NewRecords(w.Now, model.RecordStoreOptions{
+	return &store{world: w, reads: map[int]int{}, writes: map[int]int{}, watches: map[int]int{}, records: model.NewRecordStore(w.Now, model.RecordStoreOptions{
 		WritesPerSecond: 800, ReadsPerSecond: 2000, History: 20 * time.Second,
 	})}
 }
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -52,8 +52,8 @@
 	at     time.Time
 }
 
-// NewRecords returns an empty store.
-func NewRecords(now time.Time, options RecordStoreOptions) *Records {
+// NewRecordStore returns an empty store.
+func NewRecordStore(now time.Time, options RecordStoreOptions) *Records {
 	r := &Records{options: options, started: now, rows: map[port.RecordKey]port.Record{}, changed: make(chan struct{})}
 	if options.WritesPerSecond > 0 {
 		r.writes = rate.NewLimiter(rate.Limit(options.WritesPerSecond), int(options.WritesPerSecond/4)+1)
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -87,7 +87,7 @@
 	return n
 }
 
-func newStore() *model.Records { return model.NewRecords(epoch, model.RecordStoreOptions{}) }
+func newStore() *model.Records { return model.NewRecordStore(epoch, model.RecordStoreOptions{}) }
 
 // runTasks runs queued tasks until none are left.
 func (n *testNode) runTasks() {
--- a/internal/version/configuration/command_test.go
+++ b/internal/version/configuration/command_test.go
@@ -51,7 +51,7 @@
 }
 
 func newCommander(commit func(n int) (port.RecordStatus, bool, bool)) *Executor {
-	return &Executor{Store: &faultyStore{Records: model.NewRecords(time.Now(), model.RecordStoreOptions{}), commit: commit}, Now: time.Now}
+	return &Executor{Store: &faultyStore{Records: model.NewRecordStore(time.Now(), model.RecordStoreOptions{}), commit: commit}, Now: time.Now}
 }
 
 func submit(t *testing.T, c *Executor, operator, token, text string, ifRevision uint64) port.OperatorReply {
@@ -136,7 +136,7 @@
 // was refused.
 func TestRefusalHoldsAgainstALateCommit(t *testing.T) {
 	var commitDelayed func()
-	records := model.NewRecords(time.Now(), model.RecordStoreOptions{})
+	records := model.NewRecordStore(time.Now(), model.RecordStoreOptions{})
 	store := &delayingStore{faultyStore: faultyStore{Records: records}, onDelayed: func(do func()) { commitDelayed = do }}
 	c := &Executor{Store: store, Now: time.Now}
 	done := make(chan port.OperatorReply, 1)
--- a/internal/version/experiment/steps_test.go
+++ b/internal/version/experiment/steps_test.go
@@ -109,7 +109,7 @@
 	}}}}
 	b.jobs = &testJobs{t: t, accepted: map[string]*doorstepv1.BatchJob{}, ended: map[string]bool{}, version: func() int64 { return 1 }}
 	b.Steps = &Steps{
-		Store: testStore{model.NewRecords(time.Now(), model.RecordStoreOptions{})}, Jobs: b.jobs, Targets: jsonTargets{},
+		Store: testStore{model.NewRecordStore(time.Now(), model.RecordStoreOptions{})}, Jobs: b.jobs, Targets: jsonTargets{},
 		Configuration: func() *doorstepv1.Configuration { return b.configuration },
 		Route:         func(string, port.RouteKind) *port.Route { return &port.Route{Name: "r", Host: "h", PathPrefix: "/p/"} },
 		Describe: func(model, prompt string, maxTokens int) http.Header {
--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -26,7 +26,7 @@
 
 func newTestBench(count int) *testBench {
 	b := &testBench{now: time.Unix(1000, 0), disconnected: map[int]bool{}, loseAnswers: map[int]bool{}, observedAt: map[int]time.Time{}, missedUpdates: map[int]bool{}}
-	b.store = model.NewRecords(b.now, model.RecordStoreOptions{})
+	b.store = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	for i := range count {
 		queue := &task.Queue{}
 		b.queues = append(b.queues, queue)
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -43,7 +43,7 @@
 
 func newTestBench(replicas int) *testBench {
 	b := &testBench{now: time.Unix(1000, 0), generators: map[string]*model.Generator{}}
-	b.records = model.NewRecords(b.now, model.RecordStoreOptions{})
+	b.records = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	b.start("a", 1)
 	for i := range replicas {
 		id := fmt.Sprintf("r%d", i)
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -36,7 +36,7 @@
 
 func newTestBench(zones ...int) *testBench {
 	b := &testBench{now: time.Unix(1000, 0), queue: &task.Queue{}, status: port.DutyDone}
-	b.records = model.NewRecords(b.now, model.RecordStoreOptions{})
+	b.records = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	b.lease = recordlease.New(recordlease.Options{
 		Key: port.RecordKey{Table: "leases", Key: "l"}, Holder: "a", Incarnation: 1, Queue: b.queue,
 		ObservedUntil: func(now time.Time) time.Time { return now },
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -45,7 +45,7 @@
 
 func newTestBench(count int) *testBench {
 	b := &testBench{now: startTime, offsets: []time.Duration{time.Duration(startTime.UnixNano()), time.Duration(startTime.UnixNano())}}
-	b.records = model.NewRecords(b.now, model.RecordStoreOptions{})
+	b.records = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	for i := range count {
 		b.start(string(rune('a'+i)), uint64(i+1))
 	}
