--- a/internal/process/cluster/census_test.go
+++ b/internal/process/cluster/census_test.go
@@ -14,7 +14,7 @@
 )
 
 // holdLease has a node acquire the order lease against a store of its own.
-func holdLease(t *testing.T, n *Node, store *model.Records) {
+func holdLease(t *testing.T, n *Node, store *model.RecordStore) {
 	t.Helper()
 	n.NoteClock(start, start, time.Hour)
 	n.shared.Tick(start)
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -35,7 +35,7 @@
 type coldNode struct {
 	virtual.Clock
 	*Node
-	store *model.Records
+	store *model.RecordStore
 	sent  map[string][]time.Time
 	// cold holds until when a replica is cold in truth.
 	cold map[string]time.Time
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -38,7 +38,7 @@
 type largeDeployment struct {
 	t     *testing.T
 	now   time.Time
-	store *model.Records
+	store *model.RecordStore
 	node  *Node
 	// away is set while the store gives no answers; read counts the records of the list that were read.
 	away bool
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -23,7 +23,7 @@
 type many struct {
 	virtual.Clock
 	random  *rand.Rand
-	store   *model.Records
+	store   *model.RecordStore
 	queue   task.Queue
 	gates   []*Gate
 	frozen  []time.Time
@@ -161,13 +161,13 @@
 }
 
 // exact is a gate whose clock is the store's, with its calls in the test's hands.
-func exact() (*Gate, *task.Queue, *model.Records) {
+func exact() (*Gate, *task.Queue, *model.RecordStore) {
 	queue := &task.Queue{}
 	clock := func(now time.Time) (time.Duration, time.Duration, bool) { return now.Sub(epoch), now.Sub(epoch), true }
 	return New(Options{Self: "n", Queue: queue, Clock: clock}), queue, model.NewRecordStore(epoch, model.RecordStoreOptions{WritesPerSecond: 100, ReadsPerSecond: 100, History: time.Minute})
 }
 
-func carryOut(now time.Time, queue *task.Queue, store *model.Records) (writes int) {
+func carryOut(now time.Time, queue *task.Queue, store *model.RecordStore) (writes int) {
 	for tasks := queue.Take(); len(tasks) > 0; tasks = queue.Take() {
 		for _, one := range tasks {
 			switch one := one.(type) {
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -16,7 +16,7 @@
 // answer.
 type bench struct {
 	now     time.Time
-	records *model.Records
+	records *model.RecordStore
 	nodes   []*node
 	// status, unless it is RecordDone, answers every transaction in the store's place.
 	status port.RecordStatus
--- a/internal/simulation/clustersim/store.go
+++ b/internal/simulation/clustersim/store.go
@@ -20,7 +20,7 @@
 // store is the record store as nodes reach it.
 type store struct {
 	world   *World
-	records *model.Records
+	records *model.RecordStore
 	// counts of the faults that are on.
 	silent, refusing, slow, losing, partly int
 	troubledAt                             time.Time
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -29,9 +29,9 @@
 	History time.Duration
 }
 
-// Records models the platform's record store: records with revisions, conditional transactions, ranges, and
+// RecordStore models the platform's record store: records with revisions, conditional transactions, ranges, and
 // watches over a history that can be compacted. It is safe for concurrent use.
-type Records struct {
+type RecordStore struct {
 	mu       sync.Mutex
 	options  RecordStoreOptions
 	started  time.Time
@@ -53,8 +53,8 @@
 }
 
 // NewRecordStore returns an empty store.
-func NewRecordStore(now time.Time, options RecordStoreOptions) *Records {
-	r := &Records{options: options, started: now, rows: map[port.RecordKey]port.Record{}, changed: make(chan struct{})}
+func NewRecordStore(now time.Time, options RecordStoreOptions) *RecordStore {
+	r := &RecordStore{options: options, started: now, rows: map[port.RecordKey]port.Record{}, changed: make(chan struct{})}
 	if options.WritesPerSecond > 0 {
 		r.writes = rate.NewLimiter(rate.Limit(options.WritesPerSecond), int(options.WritesPerSecond/4)+1)
 	}
@@ -64,12 +64,12 @@
 	return r
 }
 
-func (r *Records) result(now time.Time, status port.RecordStatus) port.RecordResult {
+func (r *RecordStore) result(now time.Time, status port.RecordStatus) port.RecordResult {
 	return port.RecordResult{Status: status, Revision: r.revision, Clock: now.Sub(r.started)}
 }
 
 // Commit applies a transaction atomically.
-func (r *Records) Commit(now time.Time, transaction port.RecordTransaction) port.RecordResult {
+func (r *RecordStore) Commit(now time.Time, transaction port.RecordTransaction) port.RecordResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.writes != nil && !r.writes.AllowN(now, 1) || !withinLimits(transaction) {
@@ -123,7 +123,7 @@
 	return entries <= MaxTransactionEntries && size <= MaxTransactionBytes && len(partitions) <= 1
 }
 
-func (r *Records) set(now time.Time, record port.Record) {
+func (r *RecordStore) set(now time.Time, record port.Record) {
 	if record.Deleted {
 		delete(r.rows, record.RecordKey)
 	} else {
@@ -137,7 +137,7 @@
 }
 
 // Range returns the records of a partition in key order.
-func (r *Records) Range(now time.Time, query port.RecordRange) port.RecordResult {
+func (r *RecordStore) Range(now time.Time, query port.RecordRange) port.RecordResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.reads != nil && !r.reads.AllowN(now, 1) {
@@ -168,7 +168,7 @@
 
 // Changes returns the changes of a table after a revision, and a channel that is closed at the next change of any
 // table.
-func (r *Records) Changes(now time.Time, table string, after int64) (port.RecordResult, <-chan struct{}) {
+func (r *RecordStore) Changes(now time.Time, table string, after int64) (port.RecordResult, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if after < r.compactedRevision {
@@ -188,7 +188,7 @@
 }
 
 // CompactHistory compacts the entire history, which ends watches from earlier revisions.
-func (r *Records) CompactHistory() {
+func (r *RecordStore) CompactHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.compactedRevision = r.revision
@@ -198,14 +198,14 @@
 }
 
 // MuteWatches withholds changes from watches until the given time. Writes proceed normally.
-func (r *Records) MuteWatches(until time.Time) {
+func (r *RecordStore) MuteWatches(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchesMutedUntil = until
 }
 
 // All returns all current records in no particular order.
-func (r *Records) All() []port.Record {
+func (r *RecordStore) All() []port.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]port.Record, 0, len(r.rows))
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -13,7 +13,7 @@
 
 // newRegionalNode returns a node in a region; homes are the home regions of all routes and
 // tenants in its configuration.
-func newRegionalNode(self, region string, store *model.Records, homes ...string) *testNode {
+func newRegionalNode(self, region string, store *model.RecordStore, homes ...string) *testNode {
 	n := newTestNode(self, store)
 	n.jobs.options.Topology = port.Topology{Zone: region, Region: region, Regions: map[string]string{"north": "north", "south": "south", "west": "west"}}
 	n.jobs.options.Homes = Homes{RouteByName: func(string) *port.Route { return n.route }}
--- a/internal/version/batch/testnode_test.go
+++ b/internal/version/batch/testnode_test.go
@@ -18,7 +18,7 @@
 // testNode is the batch jobs of one node with a simulated store, clock and replicas.
 type testNode struct {
 	now     time.Time
-	store   *model.Records
+	store   *model.RecordStore
 	queue   *task.Queue
 	jobs    *Jobs
 	replica *endpoint.Endpoint
@@ -46,7 +46,7 @@
 
 var epoch = time.Unix(1000, 0)
 
-func newTestNode(self string, store *model.Records) *testNode {
+func newTestNode(self string, store *model.RecordStore) *testNode {
 	n := &testNode{now: epoch, store: store, queue: &task.Queue{}, clockKnown: true, stopped: map[uint64]bool{}}
 	n.route = &port.Route{Name: "r", Kind: port.RouteBatch, MaxAttempts: 3, MaxQueue: 30 * time.Second, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 	n.replica = &endpoint.Endpoint{ReplicaRecord: port.ReplicaRecord{ID: "e", Service: "s", Slots: 100, Versions: map[string]int64{"m": 2}}}
@@ -87,7 +87,7 @@
 	return n
 }
 
-func newStore() *model.Records { return model.NewRecordStore(epoch, model.RecordStoreOptions{}) }
+func newStore() *model.RecordStore { return model.NewRecordStore(epoch, model.RecordStoreOptions{}) }
 
 // runTasks runs queued tasks until none are left.
 func (n *testNode) runTasks() {
--- a/internal/version/configuration/command_test.go
+++ b/internal/version/configuration/command_test.go
@@ -18,7 +18,7 @@
 
 // faultyStore is the simulated store with injected faults.
 type faultyStore struct {
-	*model.Records
+	*model.RecordStore
 	// commit is called with the number of each commit. If instead is set, the commit returns answer
 	// and is only executed if execute is set.
 	commit func(n int) (answer port.RecordStatus, execute, instead bool)
@@ -34,16 +34,16 @@
 	if f.commit != nil {
 		if answer, execute, instead := f.commit(n); instead {
 			if execute {
-				f.Records.Commit(time.Now(), transaction)
+				f.RecordStore.Commit(time.Now(), transaction)
 			}
 			return port.RecordResult{Status: answer}
 		}
 	}
-	return f.Records.Commit(time.Now(), transaction)
+	return f.RecordStore.Commit(time.Now(), transaction)
 }
 
 func (f *faultyStore) Range(_ context.Context, query port.RecordRange) port.RecordResult {
-	return f.Records.Range(time.Now(), query)
+	return f.RecordStore.Range(time.Now(), query)
 }
 
 func (f *faultyStore) Watch(context.Context, string, int64, time.Duration) port.RecordResult {
@@ -51,7 +51,7 @@
 }
 
 func newCommander(commit func(n int) (port.RecordStatus, bool, bool)) *Executor {
-	return &Executor{Store: &faultyStore{Records: model.NewRecordStore(time.Now(), model.RecordStoreOptions{}), commit: commit}, Now: time.Now}
+	return &Executor{Store: &faultyStore{RecordStore: model.NewRecordStore(time.Now(), model.RecordStoreOptions{}), commit: commit}, Now: time.Now}
 }
 
 func submit(t *testing.T, c *Executor, operator, token, text string, ifRevision uint64) port.OperatorReply {
@@ -137,7 +137,7 @@
 func TestRefusalHoldsAgainstALateCommit(t *testing.T) {
 	var commitDelayed func()
 	records := model.NewRecordStore(time.Now(), model.RecordStoreOptions{})
-	store := &delayingStore{faultyStore: faultyStore{Records: records}, onDelayed: func(do func()) { commitDelayed = do }}
+	store := &delayingStore{faultyStore: faultyStore{RecordStore: records}, onDelayed: func(do func()) { commitDelayed = do }}
 	c := &Executor{Store: store, Now: time.Now}
 	done := make(chan port.OperatorReply, 1)
 	store.afterDelayed = func() {
@@ -165,7 +165,7 @@
 func (l *delayingStore) Commit(ctx context.Context, transaction port.RecordTransaction) port.RecordResult {
 	if !l.delayed {
 		l.delayed = true
-		l.onDelayed(func() { l.Records.Commit(time.Now(), transaction) })
+		l.onDelayed(func() { l.RecordStore.Commit(time.Now(), transaction) })
 		l.afterDelayed()
 		return port.RecordResult{Status: port.RecordUnknown}
 	}
--- a/internal/version/configuration/linearizability_test.go
+++ b/internal/version/configuration/linearizability_test.go
@@ -56,7 +56,7 @@
 			defer mu.Unlock()
 			return random.IntN(n)
 		}
-		store := &faultyStore{Records: model.NewRecordStore(time.Now(), model.RecordStoreOptions{}), commit: func(int) (port.RecordStatus, bool, bool) {
+		store := &faultyStore{RecordStore: model.NewRecordStore(time.Now(), model.RecordStoreOptions{}), commit: func(int) (port.RecordStatus, bool, bool) {
 			switch draw(4) {
 			case 0:
 				return port.RecordUnknown, true, true
--- a/internal/version/experiment/steps_test.go
+++ b/internal/version/experiment/steps_test.go
@@ -20,14 +20,14 @@
 )
 
 // testStore implements port.RecordStore with the simulated store.
-type testStore struct{ *model.Records }
+type testStore struct{ *model.RecordStore }
 
 func (s testStore) Commit(_ context.Context, transaction port.RecordTransaction) port.RecordResult {
-	return s.Records.Commit(time.Now(), transaction)
+	return s.RecordStore.Commit(time.Now(), transaction)
 }
 
 func (s testStore) Range(_ context.Context, query port.RecordRange) port.RecordResult {
-	return s.Records.Range(time.Now(), query)
+	return s.RecordStore.Range(time.Now(), query)
 }
 
 func (s testStore) Watch(context.Context, string, int64, time.Duration) port.RecordResult {
--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -12,7 +12,7 @@
 // testBench runs leases on a shared store that answers immediately.
 type testBench struct {
 	now    time.Time
-	store  *model.Records
+	store  *model.RecordStore
 	leases []*Lease
 	queues []*task.Queue
 	// Calls of disconnected leases fail. Writes of leases in loseAnswers succeed but are not
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -20,7 +20,7 @@
 	rollout    *Rollout
 	endpoints  []*endpoint.Endpoint
 	generators map[string]*model.Generator
-	records    *model.Records
+	records    *model.RecordStore
 	// orders counts the load orders, without probes.
 	orders     int
 	maxLoading int
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -15,7 +15,7 @@
 	now     time.Time
 	queue   *task.Queue
 	lease   *recordlease.Lease
-	records *model.Records
+	records *model.RecordStore
 	scaler  *Scaler
 	service Service
 	// status is the platform's answer, orders the orders sent.
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -20,7 +20,7 @@
 // testBench runs the nodes of one deployment. Calls are answered immediately.
 type testBench struct {
 	now     time.Time
-	records *model.Records
+	records *model.RecordStore
 	nodes   []*testNode
 	// offsets holds the offsets of the nodes' wall clocks.
 	offsets []time.Duration
