--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -21,7 +21,7 @@
 	MaxRangeRecords = 500
 )
 
-// RecordStoreOptions configures Records.
+// RecordStoreOptions configures a RecordStore.
 type RecordStoreOptions struct {
 	// WritesPerSecond and ReadsPerSecond are rate limits; 0 means unlimited.
 	WritesPerSecond, ReadsPerSecond float64
