--- a/internal/command/compare/ablate_test.go
+++ b/internal/command/compare/ablate_test.go
@@ -35,10 +35,10 @@
 	return repo
 }
 
-func writePatch(t *testing.T, folder, name, worth string) {
+func writePatch(t *testing.T, dir, name, score string) {
 	t.Helper()
-	content := "--- a/worth\n+++ b/worth\n@@ -1 +1 @@\n-0.9\n+" + worth + "\n"
-	if err := os.WriteFile(filepath.Join(folder, name+patchExt), []byte(content), 0o644); err != nil {
+	content := "--- a/worth\n+++ b/worth\n@@ -1 +1 @@\n-0.9\n+" + score + "\n"
+	if err := os.WriteFile(filepath.Join(dir, name+patchExt), []byte(content), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/command/daemoncli/daemoncli.go
+++ b/internal/command/daemoncli/daemoncli.go
@@ -70,7 +70,7 @@
 	nodes := &nodeCommand{platform: platform}
 	return &cli.Command{
 		Name:        "doorstepd",
-		Usage:       "one node of the doorstep rollout service",
+		Usage:       "run a node of the doorstep rollout service",
 		Description: "Runs until SIGTERM or SIGINT, then shuts down gracefully without interrupting requests.\nA second signal terminates it immediately.",
 		Flags:       flags(),
 		Action:      nodes.serve,
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -52,8 +52,8 @@
 		return err
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(wait))
-	var one [1]byte
-	_, err := conn.Read(one[:])
+	var buffer [1]byte
+	_, err := conn.Read(buffer[:])
 	return err
 }
 
@@ -70,8 +70,8 @@
 		}
 		p.SetMode(LinkOpen)
 		_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
-		var one [1]byte
-		if _, err := conn.Read(one[:]); err != nil {
+		var buffer [1]byte
+		if _, err := conn.Read(buffer[:]); err != nil {
 			t.Errorf("held data is lost after mode %d: %v", mode, err)
 		}
 	}
--- a/internal/soak/region_test.go
+++ b/internal/soak/region_test.go
@@ -32,8 +32,8 @@
 			}
 			link.setFault(regionFault{})
 			_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
-			var one [1]byte
-			if _, err := conn.Read(one[:]); err != nil {
+			var buffer [1]byte
+			if _, err := conn.Read(buffer[:]); err != nil {
 				t.Errorf("held data is lost: %v", err)
 			}
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -23,7 +23,7 @@
 	}
 	starts.Wait()
 	defer n.process.Kill()
-	if lives := n.starts.Load(); lives != 1 {
-		t.Errorf("the program was started %d times", lives)
+	if count := n.starts.Load(); count != 1 {
+		t.Errorf("the program was started %d times", count)
 	}
 }
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -76,21 +76,21 @@
 		return port.RecordResult{Status: port.RecordRefused}
 	}
 	conflict := false
-	for _, one := range transaction.Preconditions {
-		conflict = conflict || r.rows[one.RecordKey].Revision != one.Revision
+	for _, precondition := range transaction.Preconditions {
+		conflict = conflict || r.rows[precondition.RecordKey].Revision != precondition.Revision
 	}
 	if conflict {
 		result := r.result(now, port.RecordConflict)
-		for _, one := range transaction.Preconditions {
-			if row, ok := r.rows[one.RecordKey]; ok {
+		for _, precondition := range transaction.Preconditions {
+			if row, ok := r.rows[precondition.RecordKey]; ok {
 				result.Records = append(result.Records, row)
 			}
 		}
 		return result
 	}
 	r.revision++
-	for _, one := range transaction.Puts {
-		r.set(now, port.Record{RecordKey: one.RecordKey, Value: slices.Clone(one.Value), Revision: r.revision})
+	for _, put := range transaction.Puts {
+		r.set(now, port.Record{RecordKey: put.RecordKey, Value: slices.Clone(put.Value), Revision: r.revision})
 	}
 	for _, key := range transaction.Deletes {
 		if _, ok := r.rows[key]; ok {
@@ -107,18 +107,18 @@
 	entries := len(transaction.Preconditions) + len(transaction.Puts) + len(transaction.Deletes)
 	size := 0
 	partitions := map[string]bool{}
-	for _, one := range transaction.Preconditions {
-		partitions[one.Partition] = true
+	for _, precondition := range transaction.Preconditions {
+		partitions[precondition.Partition] = true
 	}
-	for _, one := range transaction.Puts {
-		partitions[one.Partition] = true
-		size += len(one.Value) * 4 / 3
-		if len(one.Value) > MaxRecordBytes {
+	for _, put := range transaction.Puts {
+		partitions[put.Partition] = true
+		size += len(put.Value) * 4 / 3
+		if len(put.Value) > MaxRecordBytes {
 			return false
 		}
 	}
-	for _, one := range transaction.Deletes {
-		partitions[one.Partition] = true
+	for _, key := range transaction.Deletes {
+		partitions[key.Partition] = true
 	}
 	return entries <= MaxTransactionEntries && size <= MaxTransactionBytes && len(partitions) <= 1
 }
@@ -179,9 +179,9 @@
 		result.Revision = after
 		return result, r.changed
 	}
-	for _, one := range r.history {
-		if one.record.Table == table && one.record.Revision > after {
-			result.Records = append(result.Records, one.record)
+	for _, change := range r.history {
+		if change.record.Table == table && change.record.Revision > after {
+			result.Records = append(result.Records, change.record)
 		}
 	}
 	return result, r.changed
