--- a/internal/process/cluster/census_test.go
+++ b/internal/process/cluster/census_test.go
@@ -14,7 +14,7 @@
 )
 
 // holdLease makes a node acquire the order lease against a given store.
-func holdLease(t *testing.T, n *Node, store *model.Records) {
+func holdLease(t *testing.T, n *Node, store *model.RecordStore) {
 	t.Helper()
 	n.ObserveStoreClock(start, start, time.Hour)
 	n.shared.Tick(start)
@@ -38,7 +38,7 @@
 // TestCensus checks that the lease holder counts recently active nodes over several pages and stores only
 // significant changes.
 func TestCensus(t *testing.T) {
-	n, store := newNode(), model.NewRecords(start, model.RecordsOptions{})
+	n, store := newNode(), model.NewRecordStore(start, model.RecordStoreOptions{})
 	holdLease(t, n, store)
 	put := func(name string, age time.Duration) {
 		value, err := proto.Marshal(&doorstepv1.NodeStatus{AtMs: (time.Hour - age).Milliseconds()})
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -37,7 +37,7 @@
 type largeDeployment struct {
 	t     *testing.T
 	now   time.Time
-	store *model.Records
+	store *model.RecordStore
 	node  *Node
 	// storeDown is set while the store does not respond; read counts the replica records read.
 	storeDown bool
@@ -55,7 +55,7 @@
 var callersRoute = &port.Route{Name: "r", Kind: port.RouteIdempotent, Backends: []port.Backend{{Service: "callers", Weight: 1}}}
 
 func newLargeDeployment(t *testing.T, replicas int) *largeDeployment {
-	d := &largeDeployment{t: t, now: start, store: model.NewRecords(start, model.RecordsOptions{History: time.Minute})}
+	d := &largeDeployment{t: t, now: start, store: model.NewRecordStore(start, model.RecordStoreOptions{History: time.Minute})}
 	d.put("operator", "config", port.ReplicaRecord{})
 	for i := range replicas {
 		d.list(i, false)
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -23,7 +23,7 @@
 type gateGroup struct {
 	virtual.Clock
 	random       *rand.Rand
-	store        *model.Records
+	store        *model.RecordStore
 	queue        task.Queue
 	gates        []*Gate
 	frozen       []time.Time
@@ -34,7 +34,7 @@
 
 func newGateGroup(seed uint64, gates int) *gateGroup {
 	m := &gateGroup{Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 1)), frozen: make([]time.Time, gates)}
-	m.store = model.NewRecords(m.Now, model.RecordsOptions{WritesPerSecond: 800, ReadsPerSecond: 800, History: time.Minute})
+	m.store = model.NewRecordStore(m.Now, model.RecordStoreOptions{WritesPerSecond: 800, ReadsPerSecond: 800, History: time.Minute})
 	// Clock error per gate: some milliseconds, or up to a second.
 	doubt := []time.Duration{10 * time.Millisecond, time.Second}[seed%2]
 	for i := range gates {
@@ -159,13 +159,13 @@
 }
 
 // newExactGate returns a gate with an exact store clock, whose store calls are executed by the test.
-func newExactGate() (*Gate, *task.Queue, *model.Records) {
+func newExactGate() (*Gate, *task.Queue, *model.RecordStore) {
 	queue := &task.Queue{}
 	clock := func(now time.Time) (time.Duration, time.Duration, bool) { return now.Sub(epoch), now.Sub(epoch), true }
-	return New(Options{Self: "n", Queue: queue, Clock: clock}), queue, model.NewRecords(epoch, model.RecordsOptions{WritesPerSecond: 100, ReadsPerSecond: 100, History: time.Minute})
+	return New(Options{Self: "n", Queue: queue, Clock: clock}), queue, model.NewRecordStore(epoch, model.RecordStoreOptions{WritesPerSecond: 100, ReadsPerSecond: 100, History: time.Minute})
 }
 
-func execute(now time.Time, queue *task.Queue, store *model.Records) (writes int) {
+func execute(now time.Time, queue *task.Queue, store *model.RecordStore) (writes int) {
 	for tasks := queue.Take(); len(tasks) > 0; tasks = queue.Take() {
 		for _, one := range tasks {
 			switch one := one.(type) {
--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -15,7 +15,7 @@
 // testCluster drives the quarantines of several nodes with a shared store and immediate responses.
 type testCluster struct {
 	now     time.Time
-	records *model.Records
+	records *model.RecordStore
 	nodes   []*node
 	// status, unless it is RecordDone, is returned for every transaction in place of the store's result.
 	status port.RecordStatus
@@ -30,7 +30,7 @@
 }
 
 func newTestCluster(nodes int) *testCluster {
-	c := &testCluster{now: epoch, records: model.NewRecords(epoch, model.RecordsOptions{}), status: port.RecordDone}
+	c := &testCluster{now: epoch, records: model.NewRecordStore(epoch, model.RecordStoreOptions{}), status: port.RecordDone}
 	for i := range nodes {
 		queue := &task.Queue{}
 		c.nodes = append(c.nodes, &node{queue: queue, Quarantine: New(Options{
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -55,7 +55,7 @@
 		pace = pace * 13 / 10
 	}
 	return w.startReplica(&replica{
-		Generator: &model.Generator{ID: fmt.Sprintf("replica-%d", w.check.incarnations), StartedAt: w.Now.Truncate(time.Millisecond), Slots: replicaSlots, Pace: pace, LoadFor: loadTime, Versions: versions, Unfenced: w.options.Unfenced},
+		Generator: &model.Generator{ID: fmt.Sprintf("replica-%d", w.check.incarnations), StartedAt: w.Now.Truncate(time.Millisecond), Slots: replicaSlots, Pace: pace, LoadDuration: loadTime, Versions: versions, Unfenced: w.options.Unfenced},
 		address:   address, zone: fmt.Sprintf("zone-%d", len(w.replicas)%zoneCount),
 	})
 }
@@ -243,7 +243,7 @@
 		case w.Now.Sub(lastAt) >= silence:
 			one.end(task.RunInterrupted)
 			return
-		case r.dark > 0 || w.link.cut(r.zone, one.node.zone) || r.Pausing(w.Now, one.model):
+		case r.dark > 0 || w.link.cut(r.zone, one.node.zone) || r.IsLoading(w.Now, one.model):
 			one.next(id, lastAt)
 			return
 		case r.breaking > 0 && w.random.IntN(30) == 0:
--- a/internal/simulation/clustersim/store.go
+++ b/internal/simulation/clustersim/store.go
@@ -20,7 +20,7 @@
 // store is the record store as nodes reach it.
 type store struct {
 	world   *World
-	records *model.Records
+	records *model.RecordStore
 	// counts of the faults that are on.
 	silent, refusing, slow, losing, partly int
 	troubledAt                             time.Time
@@ -32,7 +32,7 @@
 func count(calls map[int]int, now time.Time) { calls[int(now.Sub(epoch)/time.Second)]++ }
 
 func newStore(w *World) *store {
-	return &store{world: w, reads: map[int]int{}, writes: map[int]int{}, watches: map[int]int{}, records: model.NewRecords(w.Now, model.RecordsOptions{
+	return &store{world: w, reads: map[int]int{}, writes: map[int]int{}, watches: map[int]int{}, records: model.NewRecordStore(w.Now, model.RecordStoreOptions{
 		WritesPerSecond: 800, ReadsPerSecond: 2000, History: 20 * time.Second,
 	})}
 }
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -11,41 +11,40 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// Bounds of the record store, as the platform states them.
+// Limits of the platform's record store.
 const (
-	// RecordBytes bounds a value, TransactionEntries and TransactionBytes a transaction.
-	RecordBytes        = 65536
-	TransactionEntries = 100
-	TransactionBytes   = 1 << 20
-	// RangeRecords bounds a range.
-	RangeRecords = 500
+	// MaxRecordBytes is the maximum size of a value. TransactionEntries and TransactionBytes limit a transaction.
+	MaxRecordBytes        = 65536
+	MaxTransactionEntries = 100
+	MaxTransactionBytes   = 1 << 20
+	// MaxRangeRecords is the maximum number of records returned by a range.
+	MaxRangeRecords = 500
 )
 
-// RecordsOptions configure Records.
-type RecordsOptions struct {
-	// WritesPerSecond and ReadsPerSecond are the budgets; 0 for none.
+// RecordStoreOptions configures a RecordStore.
+type RecordStoreOptions struct {
+	// WritesPerSecond and ReadsPerSecond are rate limits; 0 means unlimited.
 	WritesPerSecond, ReadsPerSecond float64
-	// History is how long changes can be watched back.
+	// History is how long changes are kept for watches; 0 means forever.
 	History time.Duration
 }
 
-// Records is the platform's record store: rows with revisions, conditional
-// transactions, ranges and a watch whose history can be forgotten. It may be used by
-// several goroutines.
-type Records struct {
+// RecordStore models the platform's record store: records with revisions, conditional transactions, ranges, and
+// watches over a history that can be compacted. It is safe for concurrent use.
+type RecordStore struct {
 	mu       sync.Mutex
-	options  RecordsOptions
+	options  RecordStoreOptions
 	started  time.Time
 	revision int64
 	rows     map[port.RecordKey]port.Record
 	history  []change
-	// forgotten is the revision up to which history is gone.
-	forgotten int64
-	writes    *rate.Limiter
-	reads     *rate.Limiter
-	changed   chan struct{}
-	// hushUntil is until when watches hear nothing.
-	hushUntil time.Time
+	// compactedRevision is the latest revision that is no longer in the history.
+	compactedRevision int64
+	writes            *rate.Limiter
+	reads             *rate.Limiter
+	changed           chan struct{}
+	// watchesMutedUntil is the time until which watches receive no changes.
+	watchesMutedUntil time.Time
 }
 
 type change struct {
@@ -53,9 +52,9 @@
 	at     time.Time
 }
 
-// NewRecords returns an empty store.
-func NewRecords(now time.Time, options RecordsOptions) *Records {
-	r := &Records{options: options, started: now, rows: map[port.RecordKey]port.Record{}, changed: make(chan struct{})}
+// NewRecordStore returns an empty store.
+func NewRecordStore(now time.Time, options RecordStoreOptions) *RecordStore {
+	r := &RecordStore{options: options, started: now, rows: map[port.RecordKey]port.Record{}, changed: make(chan struct{})}
 	if options.WritesPerSecond > 0 {
 		r.writes = rate.NewLimiter(rate.Limit(options.WritesPerSecond), int(options.WritesPerSecond/4)+1)
 	}
@@ -65,33 +64,33 @@
 	return r
 }
 
-func (r *Records) answer(now time.Time, status port.RecordStatus) port.RecordResult {
+func (r *RecordStore) result(now time.Time, status port.RecordStatus) port.RecordResult {
 	return port.RecordResult{Status: status, Revision: r.revision, Clock: now.Sub(r.started)}
 }
 
-// Commit carries out a transaction, or none of it.
-func (r *Records) Commit(now time.Time, transaction port.RecordTransaction) port.RecordResult {
+// Commit applies a transaction atomically.
+func (r *RecordStore) Commit(now time.Time, transaction port.RecordTransaction) port.RecordResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.writes != nil && !r.writes.AllowN(now, 1) || !allowed(transaction) {
+	if r.writes != nil && !r.writes.AllowN(now, 1) || !withinLimits(transaction) {
 		return port.RecordResult{Status: port.RecordRefused}
 	}
 	conflict := false
-	for _, one := range transaction.Preconditions {
-		conflict = conflict || r.rows[one.RecordKey].Revision != one.Revision
+	for _, precondition := range transaction.Preconditions {
+		conflict = conflict || r.rows[precondition.RecordKey].Revision != precondition.Revision
 	}
 	if conflict {
-		result := r.answer(now, port.RecordConflict)
-		for _, one := range transaction.Preconditions {
-			if row, ok := r.rows[one.RecordKey]; ok {
+		result := r.result(now, port.RecordConflict)
+		for _, precondition := range transaction.Preconditions {
+			if row, ok := r.rows[precondition.RecordKey]; ok {
 				result.Records = append(result.Records, row)
 			}
 		}
 		return result
 	}
 	r.revision++
-	for _, one := range transaction.Puts {
-		r.set(now, port.Record{RecordKey: one.RecordKey, Value: slices.Clone(one.Value), Revision: r.revision})
+	for _, put := range transaction.Puts {
+		r.set(now, port.Record{RecordKey: put.RecordKey, Value: slices.Clone(put.Value), Revision: r.revision})
 	}
 	for _, key := range transaction.Deletes {
 		if _, ok := r.rows[key]; ok {
@@ -100,32 +99,31 @@
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
-	return r.answer(now, port.RecordDone)
+	return r.result(now, port.RecordDone)
 }
 
-// allowed reports whether a transaction is within the bounds: one partition, and not
-// too large.
-func allowed(transaction port.RecordTransaction) bool {
+// withinLimits reports whether a transaction affects a single partition and is within the size limits.
+func withinLimits(transaction port.RecordTransaction) bool {
 	entries := len(transaction.Preconditions) + len(transaction.Puts) + len(transaction.Deletes)
 	size := 0
 	partitions := map[string]bool{}
-	for _, one := range transaction.Preconditions {
-		partitions[one.Partition] = true
+	for _, precondition := range transaction.Preconditions {
+		partitions[precondition.Partition] = true
 	}
-	for _, one := range transaction.Puts {
-		partitions[one.Partition] = true
-		size += len(one.Value) * 4 / 3
-		if len(one.Value) > RecordBytes {
+	for _, put := range transaction.Puts {
+		partitions[put.Partition] = true
+		size += len(put.Value) * 4 / 3
+		if len(put.Value) > MaxRecordBytes {
 			return false
 		}
 	}
-	for _, one := range transaction.Deletes {
-		partitions[one.Partition] = true
+	for _, key := range transaction.Deletes {
+		partitions[key.Partition] = true
 	}
-	return entries <= TransactionEntries && size <= TransactionBytes && len(partitions) <= 1
+	return entries <= MaxTransactionEntries && size <= MaxTransactionBytes && len(partitions) <= 1
 }
 
-func (r *Records) set(now time.Time, record port.Record) {
+func (r *RecordStore) set(now time.Time, record port.Record) {
 	if record.Deleted {
 		delete(r.rows, record.RecordKey)
 	} else {
@@ -133,33 +131,33 @@
 	}
 	r.history = append(r.history, change{record: record, at: now})
 	for r.options.History > 0 && len(r.history) > 0 && now.Sub(r.history[0].at) > r.options.History {
-		r.forgotten = r.history[0].record.Revision
+		r.compactedRevision = r.history[0].record.Revision
 		r.history = r.history[1:]
 	}
 }
 
-// Range reads a partition in the order of its keys.
-func (r *Records) Range(now time.Time, query port.RecordRange) port.RecordResult {
+// Range returns the records of a partition in key order.
+func (r *RecordStore) Range(now time.Time, query port.RecordRange) port.RecordResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.reads != nil && !r.reads.AllowN(now, 1) {
 		return port.RecordResult{Status: port.RecordRefused}
 	}
-	result := r.answer(now, port.RecordDone)
+	result := r.result(now, port.RecordDone)
 	for key, row := range r.rows {
 		if key.Table == query.Table && key.Partition == query.Partition && key.Key >= query.From && (query.To == "" || key.Key < query.To) {
 			result.Records = append(result.Records, row)
 		}
 	}
 	slices.SortFunc(result.Records, func(a, b port.Record) int { return cmp.Compare(a.Key, b.Key) })
-	limit := RangeRecords
+	limit := MaxRangeRecords
 	if query.Limit > 0 {
 		limit = min(limit, query.Limit)
 	}
 	size := 0
 	for i, row := range result.Records {
 		size += len(row.Value)
-		if i > 0 && size > TransactionBytes || i >= limit {
+		if i > 0 && size > MaxTransactionBytes || i >= limit {
 			result.Records = result.Records[:i]
 			result.More = true
 			break
@@ -168,46 +166,46 @@
 	return result
 }
 
-// Changes returns the changes of a table after a revision, and a channel that is closed
-// at the next change of anything.
-func (r *Records) Changes(now time.Time, table string, after int64) (port.RecordResult, <-chan struct{}) {
+// Changes returns the changes of a table after a revision, and a channel that is closed at the next change of any
+// table.
+func (r *RecordStore) Changes(now time.Time, table string, after int64) (port.RecordResult, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if after < r.forgotten {
+	if after < r.compactedRevision {
 		return port.RecordResult{Status: port.RecordCompacted}, r.changed
 	}
-	result := r.answer(now, port.RecordDone)
-	if now.Before(r.hushUntil) {
+	result := r.result(now, port.RecordDone)
+	if now.Before(r.watchesMutedUntil) {
 		result.Revision = after
 		return result, r.changed
 	}
-	for _, one := range r.history {
-		if one.record.Table == table && one.record.Revision > after {
-			result.Records = append(result.Records, one.record)
+	for _, change := range r.history {
+		if change.record.Table == table && change.record.Revision > after {
+			result.Records = append(result.Records, change.record)
 		}
 	}
 	return result, r.changed
 }
 
-// Forget drops the history; watches hear nothing until then.
-func (r *Records) Forget() {
+// CompactHistory compacts the entire history, which ends watches from earlier revisions.
+func (r *RecordStore) CompactHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgotten = r.revision
+	r.compactedRevision = r.revision
 	r.history = nil
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Hush makes watches hear nothing until then, while changes are made.
-func (r *Records) Hush(until time.Time) {
+// MuteWatches withholds changes from watches until the given time. Writes proceed normally.
+func (r *RecordStore) MuteWatches(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hushUntil = until
+	r.watchesMutedUntil = until
 }
 
-// All returns every record as it stands, in no order.
-func (r *Records) All() []port.Record {
+// All returns all current records in no particular order.
+func (r *RecordStore) All() []port.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]port.Record, 0, len(r.rows))
--- a/internal/version/experiment/steps_test.go
+++ b/internal/version/experiment/steps_test.go
@@ -20,14 +20,14 @@
 )
 
 // testStore implements port.RecordStore with the simulated store.
-type testStore struct{ *model.Records }
+type testStore struct{ *model.RecordStore }
 
 func (s testStore) Commit(_ context.Context, transaction port.RecordTransaction) port.RecordResult {
-	return s.Records.Commit(time.Now(), transaction)
+	return s.RecordStore.Commit(time.Now(), transaction)
 }
 
 func (s testStore) Range(_ context.Context, query port.RecordRange) port.RecordResult {
-	return s.Records.Range(time.Now(), query)
+	return s.RecordStore.Range(time.Now(), query)
 }
 
 func (s testStore) Watch(context.Context, string, int64, time.Duration) port.RecordResult {
@@ -109,7 +109,7 @@
 	}}}}
 	b.jobs = &testJobs{t: t, accepted: map[string]*doorstepv1.BatchJob{}, ended: map[string]bool{}, version: func() int64 { return 1 }}
 	b.Steps = &Steps{
-		Store: testStore{model.NewRecords(time.Now(), model.RecordsOptions{})}, Jobs: b.jobs, Targets: jsonTargets{},
+		Store: testStore{model.NewRecordStore(time.Now(), model.RecordStoreOptions{})}, Jobs: b.jobs, Targets: jsonTargets{},
 		Configuration: func() *doorstepv1.Configuration { return b.configuration },
 		Route:         func(string, port.RouteKind) *port.Route { return &port.Route{Name: "r", Host: "h", PathPrefix: "/p/"} },
 		Describe: func(model, prompt string, maxTokens int) http.Header {
--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -12,7 +12,7 @@
 // testBench runs leases on a shared store that answers immediately.
 type testBench struct {
 	now    time.Time
-	store  *model.Records
+	store  *model.RecordStore
 	leases []*Lease
 	queues []*task.Queue
 	// Calls of disconnected leases fail. Writes of leases in loseAnswers succeed but are not
@@ -26,7 +26,7 @@
 
 func newTestBench(count int) *testBench {
 	b := &testBench{now: time.Unix(1000, 0), disconnected: map[int]bool{}, loseAnswers: map[int]bool{}, observedAt: map[int]time.Time{}, missedUpdates: map[int]bool{}}
-	b.store = model.NewRecords(b.now, model.RecordsOptions{})
+	b.store = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	for i := range count {
 		queue := &task.Queue{}
 		b.queues = append(b.queues, queue)
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -20,7 +20,7 @@
 	rollout    *Rollout
 	endpoints  []*endpoint.Endpoint
 	generators map[string]*model.Generator
-	records    *model.Records
+	records    *model.RecordStore
 	// orders counts the load orders, without probes.
 	orders     int
 	maxLoading int
@@ -43,11 +43,11 @@
 
 func newTestBench(replicas int) *testBench {
 	b := &testBench{now: time.Unix(1000, 0), generators: map[string]*model.Generator{}}
-	b.records = model.NewRecords(b.now, model.RecordsOptions{})
+	b.records = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	b.start("a", 1)
 	for i := range replicas {
 		id := fmt.Sprintf("r%d", i)
-		b.generators[id] = &model.Generator{ID: id, Slots: 4, LoadFor: 900 * time.Millisecond, Versions: map[string]int64{"m": 1}}
+		b.generators[id] = &model.Generator{ID: id, Slots: 4, LoadDuration: 900 * time.Millisecond, Versions: map[string]int64{"m": 1}}
 		b.endpoints = append(b.endpoints, &endpoint.Endpoint{ReplicaRecord: port.ReplicaRecord{ID: id, Address: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}}})
 	}
 	return b
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -15,7 +15,7 @@
 	now     time.Time
 	queue   *task.Queue
 	lease   *recordlease.Lease
-	records *model.Records
+	records *model.RecordStore
 	scaler  *Scaler
 	service Service
 	// status is the platform's answer, orders the orders sent.
@@ -36,7 +36,7 @@
 
 func newTestBench(zones ...int) *testBench {
 	b := &testBench{now: time.Unix(1000, 0), queue: &task.Queue{}, status: port.DutyDone}
-	b.records = model.NewRecords(b.now, model.RecordsOptions{})
+	b.records = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	b.lease = recordlease.New(recordlease.Options{
 		Key: port.RecordKey{Table: "leases", Key: "l"}, Holder: "a", Incarnation: 1, Queue: b.queue,
 		ObservedUntil: func(now time.Time) time.Time { return now },
--- a/internal/version/usage/usage_test.go
+++ b/internal/version/usage/usage_test.go
@@ -20,7 +20,7 @@
 // testBench runs the nodes of one deployment. Calls are answered immediately.
 type testBench struct {
 	now     time.Time
-	records *model.Records
+	records *model.RecordStore
 	nodes   []*testNode
 	// offsets holds the offsets of the nodes' wall clocks.
 	offsets []time.Duration
@@ -45,7 +45,7 @@
 
 func newTestBench(count int) *testBench {
 	b := &testBench{now: startTime, offsets: []time.Duration{time.Duration(startTime.UnixNano()), time.Duration(startTime.UnixNano())}}
-	b.records = model.NewRecords(b.now, model.RecordsOptions{})
+	b.records = model.NewRecordStore(b.now, model.RecordStoreOptions{})
 	for i := range count {
 		b.start(string(rune('a'+i)), uint64(i+1))
 	}
