--- a/internal/simulation/virtual/virtual.go
+++ b/internal/simulation/virtual/virtual.go
@@ -1,5 +1,5 @@
-// Package virtual is a clock for simulations: events happen in the order of their
-// times, all in one goroutine.
+// Package virtual provides a virtual clock for simulations. Scheduled events run in the
+// order of their times, all in one goroutine.
 package virtual
 
 import (
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// event is something that happens at a virtual time; serial keeps the order of
-// events at the same time.
+// event is a callback scheduled for a virtual time. sequence orders events that have the
+// same time.
 type event struct {
-	at     time.Time
-	serial uint64
-	do     func()
+	at       time.Time
+	sequence uint64
+	callback func()
 }
 
 type eventHeap []event
@@ -21,17 +21,17 @@
 
 func (h eventHeap) Less(i, j int) bool {
 	if h[i].at.Equal(h[j].at) {
-		return h[i].serial < h[j].serial
+		return h[i].sequence < h[j].sequence
 	}
 	return h[i].at.Before(h[j].at)
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -40,39 +40,39 @@
 	return last
 }
 
-// Clock is a virtual time and what is to happen on it.
+// Clock is a virtual clock with a queue of scheduled events.
 type Clock struct {
-	// Now is the present time.
-	Now    time.Time
-	serial uint64
-	events eventHeap
+	// Now is the current virtual time.
+	Now      time.Time
+	sequence uint64
+	events   eventHeap
 }
 
-// After schedules do for a time from now.
-func (c *Clock) After(delay time.Duration, do func()) {
-	c.serial++
-	heap.Push(&c.events, event{at: c.Now.Add(max(delay, 0)), serial: c.serial, do: do})
+// After schedules callback to run after delay. A negative delay counts as zero.
+func (c *Clock) After(delay time.Duration, callback func()) {
+	c.sequence++
+	heap.Push(&c.events, event{at: c.Now.Add(max(delay, 0)), sequence: c.sequence, callback: callback})
 }
 
-// Every schedules do at an interval until it returns false.
-func (c *Clock) Every(interval time.Duration, do func() bool) {
+// Every runs callback at an interval until it returns false.
+func (c *Clock) Every(interval time.Duration, callback func() bool) {
 	c.After(interval, func() {
-		if do() {
-			c.Every(interval, do)
+		if callback() {
+			c.Every(interval, callback)
 		}
 	})
 }
 
-// Step runs the next event; false means that there is none.
+// Step advances the clock to the next event and runs it. It returns false if there is none.
 func (c *Clock) Step() bool {
 	if len(c.events) == 0 {
 		return false
 	}
 	next := heap.Pop(&c.events).(event)
 	c.Now = next.at
-	next.do()
+	next.callback()
 	return true
 }
 
-// Pending returns how many events are still to happen.
+// Pending returns the number of scheduled events.
 func (c *Clock) Pending() int { return len(c.events) }
