--- a/internal/simulation/clustersim/check.go
+++ b/internal/simulation/clustersim/check.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// cancelWithin bounds runs after an end, drainWithin those at a leaving replica,
-	// applyWithin the old configuration.
-	cancelWithin = 3 * time.Second
-	drainWithin  = 2 * time.Second
-	applyWithin  = 2 * time.Second
-	// violationsAtMost bounds a report.
-	violationsAtMost = 20
+	// cancelGracePeriod is how long items may still start after their job was ended, drainGracePeriod
+	// how long a draining replica may still receive requests, and applyGracePeriod how long a node may
+	// use an old configuration.
+	cancelGracePeriod = 3 * time.Second
+	drainGracePeriod  = 2 * time.Second
+	applyGracePeriod  = 2 * time.Second
+	// maxViolations is the maximum number of violations in a Report.
+	maxViolations = 20
 )
 
-// Violation is a broken promise.
+// Violation is a violated invariant.
 type Violation struct {
 	Invariant string
 	Detail    string
@@ -30,45 +31,45 @@
 
 func (v Violation) String() string { return fmt.Sprintf("%s at %s: %s", v.Invariant, v.At, v.Detail) }
 
-// jobRecord is what was seen of a job.
+// jobRecord is what clients and replicas have observed of a job.
 type jobRecord struct {
-	content    *doorstepv1.BatchJob
-	items      map[string]int
-	sentAt     time.Time
-	acceptedAt time.Time
-	endedAt    time.Time
-	// maybe is set once any node may have taken it; pending counts the tries that
-	// have no outcome yet.
-	maybe   bool
-	pending int
-	// positions are the results as first read; seen counts them.
-	positions map[int]string
-	byItem    map[string]int
-	seen      int
-	starts    map[string]int
-	scoring   map[string]*scoringRecord
+	content     *doorstepv1.BatchJob
+	itemIndexes map[string]int
+	sentAt      time.Time
+	acceptedAt  time.Time
+	endedAt     time.Time
+	// possiblyAccepted is set once any node may have accepted the job. pendingSubmissions counts the
+	// submissions without an outcome.
+	possiblyAccepted   bool
+	pendingSubmissions int
+	// results are the results by position as first read, resultsRead is their number.
+	results       map[int]string
+	itemPositions map[string]int
+	resultsRead   int
+	runCounts     map[string]int
+	scoring       map[string]*scoringRecord
 }
 
-// wholeGroups counts the groups of which every item was read.
-func (k *jobRecord) wholeGroups() int {
+// completeGroups counts the groups of which every item's result has been read.
+func (r *jobRecord) completeGroups() int {
 	missing := map[string]int{}
-	for _, one := range k.content.Items {
-		if _, read := k.byItem[one.Id]; read {
-			missing[one.Group] += 0
+	for _, item := range r.content.Items {
+		if _, read := r.itemPositions[item.Id]; read {
+			missing[item.Group] += 0
 		} else {
-			missing[one.Group]++
+			missing[item.Group]++
 		}
 	}
-	whole := 0
+	complete := 0
 	for _, items := range missing {
 		if items == 0 {
-			whole++
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
-// orderRecord is the last order that a replica got.
+// orderRecord is the last order that a replica received.
 type orderRecord struct {
 	holder string
 	fence  int64
@@ -76,164 +77,164 @@
 }
 
 type checker struct {
-	violations   []Violation
-	jobs         map[string]*jobRecord
-	itemJobs     map[string]*jobRecord
-	orders       map[string]orderRecord
-	poison       map[string]*poisonRecord
-	evacuations  evacuations
-	homes        homesRecord
-	incarnations int
-	resultCount  int
-	orderCount   int
-	readCount    int
-	scoreCount   int
+	violations     []Violation
+	jobs           map[string]*jobRecord
+	itemJobs       map[string]*jobRecord
+	orders         map[string]orderRecord
+	poison         map[string]*poisonRecord
+	evacuations    evacuations
+	allowedRegions allowedRegionsHistory
+	incarnations   int
+	resultCount    int
+	orderCount     int
+	readCount      int
+	scoreCount     int
 }
 
 func newChecker() *checker {
-	return &checker{jobs: map[string]*jobRecord{}, itemJobs: map[string]*jobRecord{}, orders: map[string]orderRecord{}, poison: map[string]*poisonRecord{}, evacuations: newEvacuations(), homes: newHomesRecord()}
+	return &checker{jobs: map[string]*jobRecord{}, itemJobs: map[string]*jobRecord{}, orders: map[string]orderRecord{}, poison: map[string]*poisonRecord{}, evacuations: newEvacuations(), allowedRegions: newAllowedRegionsHistory()}
 }
 
-func (c *checker) violate(w *World, invariant, format string, values ...any) {
-	w.trace("violation of "+invariant+": "+format, values...)
-	if len(c.violations) < violationsAtMost {
-		c.violations = append(c.violations, Violation{Invariant: invariant, Detail: fmt.Sprintf(format, values...), At: w.Now.Sub(epoch)})
+func (c *checker) reportViolation(w *World, invariant, format string, arguments ...any) {
+	w.trace("violation of "+invariant+": "+format, arguments...)
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, Violation{Invariant: invariant, Detail: fmt.Sprintf(format, arguments...), At: w.Now.Sub(epoch)})
 	}
 }
 
-func (c *checker) job(content *doorstepv1.BatchJob) *jobRecord {
-	known := &jobRecord{content: content, items: map[string]int{}, positions: map[int]string{}, byItem: map[string]int{}, starts: map[string]int{}, scoring: map[string]*scoringRecord{}}
-	for i, one := range content.Items {
-		known.items[one.Id] = i
-		c.itemJobs[one.Id] = known
+func (c *checker) addJob(content *doorstepv1.BatchJob) *jobRecord {
+	record := &jobRecord{content: content, itemIndexes: map[string]int{}, results: map[int]string{}, itemPositions: map[string]int{}, runCounts: map[string]int{}, scoring: map[string]*scoringRecord{}}
+	for i, item := range content.Items {
+		record.itemIndexes[item.Id] = i
+		c.itemJobs[item.Id] = record
 	}
-	c.jobs[content.Id] = known
-	return known
+	c.jobs[content.Id] = record
+	return record
 }
 
-// arrival is a request of an item's that reaches a replica.
+// arrival is a request of a job that reaches a replica.
 type arrival struct {
 	id, replica, zone string
-	from              *node
-	// sentAt is when the node sent it, drainedAt when the replica said that it leaves.
+	sender            *node
+	// drainedAt is the time at which the replica started to drain, if it did.
 	sentAt, drainedAt time.Time
 }
 
-// sentSince reports whether the request was sent since a moment. What was under way then arrives when
-// the link lets it: over a full one between the regions that takes longer than the bounds on drains and
-// evacuations, and nothing can call it back.
+// sentSince reports whether the request was sent at or after a time. A request that was already in
+// flight is not held to the grace periods of drains and evacuations: a saturated link can delay it
+// longer.
 func (a arrival) sentSince(at time.Time) bool { return !a.sentAt.Before(at) }
 
-// reached checks an arrival that belongs to a job.
-func (c *checker) reached(w *World, known *jobRecord, a arrival) {
-	if !known.maybe && known.pending == 0 {
-		c.violate(w, "refusals-true", "%s runs though its job was refused everywhere", a.id)
+// checkArrival checks a request that reaches a replica.
+func (c *checker) checkArrival(w *World, record *jobRecord, a arrival) {
+	if !record.possiblyAccepted && record.pendingSubmissions == 0 {
+		c.reportViolation(w, "refusals-true", "%s runs although all submissions of its job were rejected", a.id)
 	}
-	c.evacuated(w, a)
-	healthy := a.from.healthy(w.Now)
-	if !known.endedAt.IsZero() && healthy && w.Now.Sub(known.endedAt) > cancelWithin {
-		c.violate(w, "ends-respected", "%s runs %s after its job's end", a.id, w.Now.Sub(known.endedAt))
+	c.checkEvacuation(w, a)
+	healthy := a.sender.healthy(w.Now)
+	if !record.endedAt.IsZero() && healthy && w.Now.Sub(record.endedAt) > cancelGracePeriod {
+		c.reportViolation(w, "ends-respected", "%s runs %s after its job was ended", a.id, w.Now.Sub(record.endedAt))
 	}
-	if !a.drainedAt.IsZero() && healthy && a.sentSince(a.drainedAt) && w.Now.Sub(a.drainedAt) > drainWithin {
-		c.violate(w, "drains-respected", "%s runs at %s, which leaves since %s", a.id, a.replica, w.Now.Sub(a.drainedAt))
+	if !a.drainedAt.IsZero() && healthy && a.sentSince(a.drainedAt) && w.Now.Sub(a.drainedAt) > drainGracePeriod {
+		c.reportViolation(w, "drains-respected", "%s runs at %s, which has been draining for %s", a.id, a.replica, w.Now.Sub(a.drainedAt))
 	}
 }
 
-// arrived checks a run that reaches a replica.
-func (c *checker) arrived(w *World, one *run) {
-	known := c.itemJobs[one.task.Item]
-	if known == nil {
-		c.violate(w, "nothing-unasked", "%s runs and belongs to no job", one.task.Item)
+// checkRun checks a run that reaches a replica.
+func (c *checker) checkRun(w *World, run *itemRun) {
+	record := c.itemJobs[run.task.Item]
+	if record == nil {
+		c.reportViolation(w, "nothing-unasked", "%s runs but belongs to no job", run.task.Item)
 		return
 	}
-	c.reached(w, known, arrival{id: one.task.Item, replica: one.replica.ID, zone: one.replica.zone, from: one.node, sentAt: one.sentAt, drainedAt: one.replica.drainedAt})
-	if one.task.Tenant != known.content.Tenant {
-		c.violate(w, "tenant-true", "%s runs for tenant %q, its job's is %q", one.task.Item, one.task.Tenant, known.content.Tenant)
+	c.checkArrival(w, record, arrival{id: run.task.Item, replica: run.replica.ID, zone: run.replica.zone, sender: run.node, sentAt: run.sentAt, drainedAt: run.replica.drainedAt})
+	if run.task.Tenant != record.content.Tenant {
+		c.reportViolation(w, "tenant-true", "%s runs for tenant %q, its job belongs to tenant %q", run.task.Item, run.task.Tenant, record.content.Tenant)
 	}
-	known.starts[one.task.Item]++
-	failing := strings.HasPrefix(one.task.Item, failingItem) || strings.HasPrefix(one.task.Item, impossibleItem)
-	if failing && known.starts[one.task.Item] > 3*maxAttempts {
-		c.violate(w, "attempts-bounded", "%s was run %d times", one.task.Item, known.starts[one.task.Item])
+	record.runCounts[run.task.Item]++
+	failing := strings.HasPrefix(run.task.Item, failingItem) || strings.HasPrefix(run.task.Item, impossibleItem)
+	if failing && record.runCounts[run.task.Item] > 3*maxAttempts {
+		c.reportViolation(w, "attempts-bounded", "%s was run %d times", run.task.Item, record.runCounts[run.task.Item])
 	}
 }
 
-// ordered checks an order that reaches a replica.
-func (c *checker) ordered(w *World, n *node, order port.VersionOrder) {
+// checkOrder checks an order that reaches a replica.
+func (c *checker) checkOrder(w *World, n *node, order port.VersionOrder) {
 	c.orderCount++
 	last, ok := c.orders[order.Replica]
 	if ok && last.holder != order.Holder && w.Now.Sub(last.at) < orderPause {
-		c.violate(w, "one-holder", "%s got orders of %s and %s within %s", order.Replica, last.holder, order.Holder, w.Now.Sub(last.at))
+		c.reportViolation(w, "one-holder", "%s received orders from %s and %s within %s", order.Replica, last.holder, order.Holder, w.Now.Sub(last.at))
 	}
 	if ok && last.holder != order.Holder && last.fence == order.Fence {
-		c.violate(w, "one-holder", "%s got fence %d of %s and %s", order.Replica, order.Fence, last.holder, order.Holder)
+		c.reportViolation(w, "one-holder", "%s received fence %d from both %s and %s", order.Replica, order.Fence, last.holder, order.Holder)
 	}
 	c.orders[order.Replica] = orderRecord{holder: n.name, fence: order.Fence, at: w.Now}
 }
 
-// configuration checks the version that a node goes by.
-func (c *checker) configuration(w *World, n *node) {
+// checkConfiguration checks the configuration version that a node uses.
+func (c *checker) checkConfiguration(w *World, n *node) {
 	version := int64(0)
 	if n.node.Routes() != nil {
 		version = n.node.Routes().Version()
 	}
 	if version < n.version {
-		c.violate(w, "no-regress", "%s went from version %d to %d", n.name, n.version, version)
+		c.reportViolation(w, "no-regress", "%s went back from configuration version %d to %d", n.name, n.version, version)
 	}
 	n.version = version
-	c.homes.wentBy(n, version, w.Now)
+	c.allowedRegions.recordVersion(n, version, w.Now)
 	if !n.healthy(w.Now) {
 		return
 	}
 	for _, change := range w.operator.changes {
-		if change.version > version && w.Now.Sub(change.at) > applyWithin {
-			c.violate(w, "in-force", "%s goes by version %d, %s after %d", n.name, version, w.Now.Sub(change.at), change.version)
+		if change.version > version && w.Now.Sub(change.at) > applyGracePeriod {
+			c.reportViolation(w, "in-force", "%s uses configuration version %d %s after version %d was written", n.name, version, w.Now.Sub(change.at), change.version)
 			return
 		}
 	}
 }
 
-// read checks results read from a position on.
-func (c *checker) read(w *World, known *jobRecord, from int, results []*doorstepv1.BatchResult) {
+// checkResults checks results read from a position on.
+func (c *checker) checkResults(w *World, record *jobRecord, from int, results []*doorstepv1.BatchResult) {
 	c.readCount++
 	for i, result := range results {
 		position := from + i
-		shown := fmt.Sprintf("%s %t %s %v %s", result.Id, result.Completed, result.Message, result.Versions, result.Score)
-		before, ok := known.positions[position]
+		summary := fmt.Sprintf("%s %t %s %v %s", result.Id, result.Completed, result.Message, result.Versions, result.Score)
+		before, ok := record.results[position]
 		if ok {
-			if before != shown {
-				c.violate(w, "positions-fixed", "%s: position %d changed", known.content.Id, position)
+			if before != summary {
+				c.reportViolation(w, "positions-fixed", "%s: position %d changed", record.content.Id, position)
 			}
 			continue
 		}
-		if other, twice := known.byItem[result.Id]; twice && other != position {
-			c.violate(w, "positions-fixed", "%s: %s stands at %d and %d", known.content.Id, result.Id, other, position)
+		if other, twice := record.itemPositions[result.Id]; twice && other != position {
+			c.reportViolation(w, "positions-fixed", "%s: %s is at positions %d and %d", record.content.Id, result.Id, other, position)
 		}
-		known.positions[position] = shown
-		known.byItem[result.Id] = position
-		known.seen = max(known.seen, position+1)
+		record.results[position] = summary
+		record.itemPositions[result.Id] = position
+		record.resultsRead = max(record.resultsRead, position+1)
 		c.resultCount++
-		c.result(w, known, result)
+		c.checkResult(w, record, result)
 	}
 }
 
-// result checks a result's text and versions.
-func (c *checker) result(w *World, known *jobRecord, result *doorstepv1.BatchResult) {
-	if _, ok := known.items[result.Id]; !ok {
-		c.violate(w, "results-true", "%s lists %s, which is another job's", known.content.Id, result.Id)
+// checkResult checks a result's text and versions.
+func (c *checker) checkResult(w *World, record *jobRecord, result *doorstepv1.BatchResult) {
+	if _, ok := record.itemIndexes[result.Id]; !ok {
+		c.reportViolation(w, "results-true", "%s lists %s, which belongs to another job", record.content.Id, result.Id)
 		return
 	}
 	impossible, failing := strings.HasPrefix(result.Id, impossibleItem), strings.HasPrefix(result.Id, failingItem)
 	if !result.Completed {
-		tooEarly := w.Now.Sub(known.sentAt) < maxQueue && known.endedAt.IsZero()
-		unscorable := known.scoringOf(result.Id).failures >= maxAttempts
-		if !impossible && tooEarly && !unscorable && !(failing && known.starts[result.Id] >= maxAttempts) {
-			c.violate(w, "results-true", "%s was given up too early", result.Id)
+		tooEarly := w.Now.Sub(record.sentAt) < maxQueue && record.endedAt.IsZero()
+		unscorable := record.scoringFor(result.Id).failures >= maxAttempts
+		if !impossible && tooEarly && !unscorable && !(failing && record.runCounts[result.Id] >= maxAttempts) {
+			c.reportViolation(w, "results-true", "%s was terminated too early", result.Id)
 		}
 		return
 	}
 	lines := strings.Split(result.Message, "\n")
 	if int64(len(lines)) != model.ItemEvents(result.Id) {
-		c.violate(w, "results-true", "%s has %d events of %d", result.Id, len(lines), model.ItemEvents(result.Id))
+		c.reportViolation(w, "results-true", "%s has %d of %d events", result.Id, len(lines), model.ItemEvents(result.Id))
 		return
 	}
 	var versions []int64
@@ -242,62 +243,62 @@
 		text, after, _ := strings.Cut(line, "@")
 		_, err := fmt.Sscan(after, &version)
 		if err != nil || text != model.ItemEvent(result.Id, int64(i+1)) {
-			c.violate(w, "results-true", "%s: event %d is %q", result.Id, i+1, line)
+			c.reportViolation(w, "results-true", "%s: event %d is %q", result.Id, i+1, line)
 			return
 		}
 		if !slices.Contains(versions, version) {
 			versions = append(versions, version)
 		}
-		if version < known.content.MinVersion {
-			c.violate(w, "versions-true", "%s was made by %d, at least %d is wanted", result.Id, version, known.content.MinVersion)
+		if version < record.content.MinVersion {
+			c.reportViolation(w, "versions-true", "%s was generated by version %d, the minimum is %d", result.Id, version, record.content.MinVersion)
 		}
 	}
-	c.score(w, known, result, version)
-	if known.content.Model == singleVersionModel && len(versions) > 1 {
-		c.violate(w, "versions-true", "%s was made by %v, one version is wanted", result.Id, versions)
+	c.checkScore(w, record, result, version)
+	if record.content.Model == singleVersionModel && len(versions) > 1 {
+		c.reportViolation(w, "versions-true", "%s was generated by versions %v, must be a single one", result.Id, versions)
 	}
-	named := slices.Clone(result.Versions)
+	listed := slices.Clone(result.Versions)
 	slices.Sort(versions)
-	slices.Sort(named)
-	if !slices.Equal(versions, named) {
-		c.violate(w, "versions-true", "%s names %v, was made by %v", result.Id, named, versions)
+	slices.Sort(listed)
+	if !slices.Equal(versions, listed) {
+		c.reportViolation(w, "versions-true", "%s lists versions %v, was generated by %v", result.Id, listed, versions)
 	}
 }
 
-// finalChecks reads every accepted job whole, after all faults are over.
+// finalChecks reads all results of every accepted job after faults have stopped.
 func (w *World) finalChecks() {
-	for _, known := range w.check.jobs {
-		if !known.maybe && len(known.starts) > 0 {
-			w.check.violate(w, "refusals-true", "%s ran and was refused at every try", known.content.Id)
+	for _, record := range w.check.jobs {
+		if !record.possiblyAccepted && len(record.runCounts) > 0 {
+			w.check.reportViolation(w, "refusals-true", "%s ran although all its submissions were rejected", record.content.Id)
 		}
-		if known.acceptedAt.IsZero() {
+		if record.acceptedAt.IsZero() {
 			continue
 		}
-		before := known.seen
-		w.readWhole(known)
-		if known.seen < before {
-			w.check.violate(w, "nothing-lost", "%s: %d results were read, %d stand", known.content.Id, before, known.seen)
+		before := record.resultsRead
+		w.readAllResults(record)
+		if record.resultsRead < before {
+			w.check.reportViolation(w, "nothing-lost", "%s: %d results were read earlier, %d remain", record.content.Id, before, record.resultsRead)
 		}
-		if known.endedAt.IsZero() && known.seen < len(known.content.Items) {
-			w.check.violate(w, "all-done", "%s: %d of %d items listed", known.content.Id, known.seen, len(known.content.Items))
+		if record.endedAt.IsZero() && record.resultsRead < len(record.content.Items) {
+			w.check.reportViolation(w, "all-done", "%s: %d of %d items have results", record.content.Id, record.resultsRead, len(record.content.Items))
 		}
 	}
 }
 
-func (w *World) readWhole(known *jobRecord) {
+func (w *World) readAllResults(record *jobRecord) {
 	answered := false
 	n := w.nodes[0]
-	n.do(n.life, func(time.Time) {
-		n.node.Jobs().ReadResults(known.content.Id, 0, func(_ time.Time, results []*doorstepv1.BatchResult, ok bool) {
+	n.invoke(n.incarnation, func(time.Time) {
+		n.node.Jobs().ReadResults(record.content.Id, 0, func(_ time.Time, results []*doorstepv1.BatchResult, ok bool) {
 			answered = ok
-			if len(results) < known.seen {
-				w.check.violate(w, "nothing-lost", "%s: %d results were read, %d stand", known.content.Id, known.seen, len(results))
+			if len(results) < record.resultsRead {
+				w.check.reportViolation(w, "nothing-lost", "%s: %d results were read earlier, %d remain", record.content.Id, record.resultsRead, len(results))
 			}
-			w.check.read(w, known, 0, results)
+			w.check.checkResults(w, record, 0, results)
 		})
 	})
 	w.runUntil(w.Now.Add(time.Second))
 	if !answered {
-		w.check.violate(w, "nothing-lost", "%s can't be read", known.content.Id)
+		w.check.reportViolation(w, "nothing-lost", "%s cannot be read", record.content.Id)
 	}
 }
--- a/internal/simulation/clustersim/check_cold.go
+++ b/internal/simulation/clustersim/check_cold.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// coldLasts is how long a replica is cold after its start, coldPerSecond what it bears meanwhile.
+	// coldLasts is how long a replica is cold after its start, coldPerSecond its capacity meanwhile.
 	coldLasts     = 4 * time.Second
 	coldPerSecond = 9
 )
 
-// coldSettings bound what cold replicas get in any second.
+// coldSettings limit the requests sent to cold replicas.
 var coldSettings = settings.Cold{Overshoot: 1.5, Slack: 5}
 
-// coldMost is the most that a cold replica may get in any second.
-var coldMost = int(coldPerSecond*coldSettings.Overshoot + coldSettings.Slack)
+// coldMaxPerSecond is the maximum number of requests that a cold replica may receive within a second.
+var coldMaxPerSecond = int(coldPerSecond*coldSettings.Overshoot + coldSettings.Slack)
 
-// coldFaults are those by which replicas turn cold; without them replicas bear all at once.
+// coldFaults are the faults that make replicas cold. Cold starts are simulated only if one of them is
+// selected.
 var coldFaults = []string{"replica-cold", "zone-cold-return", "all-cold"}
 
-// coldState is how long a replica is cold, and what it got meanwhile.
+// coldState is the end of a replica's cold start and the requests received during the last second of
+// it.
 type coldState struct {
 	until    time.Time
 	arrivals []time.Time
 }
 
-// coldStart returns what cold replicas bear in this world, nil if they bear all at once.
+// coldStart returns the cold start settings of the service, nil if no fault makes replicas cold.
 func (w *World) coldStart() *port.ColdStart {
 	for _, fault := range w.options.Faults {
 		if slices.Contains(coldFaults, fault.Name) {
@@ -39,15 +41,15 @@
 	return nil
 }
 
-// turnCold makes a replica cold. Its record says so at its next heartbeat.
+// turnCold makes a replica cold. Its record shows this from the next heartbeat on.
 func (r *replica) turnCold() {
 	if r.world.coldStart() != nil {
 		r.cold.until = r.world.Now.Add(coldLasts)
 	}
 }
 
-func coldZone(w *World, _ time.Duration) {
-	zone := w.anyReplica().zone
+func turnZoneCold(w *World, _ time.Duration) {
+	zone := w.randomReplica().zone
 	for _, r := range w.replicas {
 		if r.zone == zone {
 			r.turnCold()
@@ -55,20 +57,21 @@
 	}
 }
 
-func allCold(w *World, _ time.Duration) {
+func turnAllCold(w *World, _ time.Duration) {
 	for _, r := range w.replicas {
 		r.turnCold()
 	}
 }
 
-// arrivedCold counts what a cold replica gets, of all nodes together, whatever it answers.
-func (c *checker) arrivedCold(w *World, r *replica) {
+// checkColdArrival checks the rate of requests from all nodes to a cold replica, including rejected
+// ones.
+func (c *checker) checkColdArrival(w *World, r *replica) {
 	if !w.Now.Before(r.cold.until) {
 		r.cold.arrivals = nil
 		return
 	}
 	r.cold.arrivals = slices.DeleteFunc(append(r.cold.arrivals, w.Now), func(at time.Time) bool { return w.Now.Sub(at) > time.Second })
-	if len(r.cold.arrivals) > coldMost {
-		c.violate(w, "cold-bounded", "%s is cold for %s more and got %d requests within a second, %d are allowed", r.ID, r.cold.until.Sub(w.Now), len(r.cold.arrivals), coldMost)
+	if len(r.cold.arrivals) > coldMaxPerSecond {
+		c.reportViolation(w, "cold-bounded", "%s, cold for another %s, received %d requests within a second, the limit is %d", r.ID, r.cold.until.Sub(w.Now), len(r.cold.arrivals), coldMaxPerSecond)
 	}
 }
--- a/internal/simulation/clustersim/check_evacuation.go
+++ b/internal/simulation/clustersim/check_evacuation.go
@@ -8,14 +8,13 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// evacuateWithin is how soon after a zone's evacuation, or its lifting, nodes in touch go by it; it
-// is that of leaving replicas.
-const evacuateWithin = drainWithin
+// evacuationGracePeriod is the time within which connected nodes must apply an evacuation or its end.
+const evacuationGracePeriod = drainGracePeriod
 
-// evacuations are the zones that the platform takes out of use, each a row of the operator's table.
+// evacuations tracks the zones that the platform evacuates, each a record in the operator's table.
 type evacuations struct {
-	// counts holds how many evacuations of a zone are on: those that overlap are one. since and
-	// lifted are when it began and ended last.
+	// counts holds the number of active evacuations by zone, as they may overlap. since and lifted are
+	// the times at which the last one began and ended.
 	counts        map[string]int
 	since, lifted map[string]time.Time
 }
@@ -24,21 +23,22 @@
 	return evacuations{counts: map[string]int{}, since: map[string]time.Time{}, lifted: map[string]time.Time{}}
 }
 
-// evacuate takes a zone out of use for a while. The platform reaches its store though nodes may not.
-func evacuate(w *World, lasts time.Duration) {
+// evacuateZone evacuates a random zone for a while. The platform writes to the store directly, also
+// when nodes cannot reach it.
+func evacuateZone(w *World, duration time.Duration) {
 	zone := fmt.Sprintf("zone-%d", w.random.IntN(zoneCount))
-	on := &w.check.evacuations
-	on.counts[zone]++
-	if on.counts[zone] == 1 {
+	record := &w.check.evacuations
+	record.counts[zone]++
+	if record.counts[zone] == 1 {
 		w.store.records.Commit(w.Now, port.RecordTransaction{Puts: []port.Record{{RecordKey: evacuationKey(zone), Value: []byte("{}")}}})
-		on.since[zone] = w.Now
+		record.since[zone] = w.Now
 	}
-	w.After(lasts, func() {
-		on.counts[zone]--
-		if on.counts[zone] == 0 {
+	w.After(duration, func() {
+		record.counts[zone]--
+		if record.counts[zone] == 0 {
 			w.store.records.Commit(w.Now, port.RecordTransaction{Deletes: []port.RecordKey{evacuationKey(zone)}})
-			delete(on.since, zone)
-			on.lifted[zone] = w.Now
+			delete(record.since, zone)
+			record.lifted[zone] = w.Now
 		}
 	})
 }
@@ -47,29 +47,28 @@
 	return port.RecordKey{Table: operatorTable, Key: evacuationPrefix + zone}
 }
 
-// evacuated checks an arrival against the evacuation of its replica's zone.
-func (c *checker) evacuated(w *World, a arrival) {
-	since, on := c.evacuations.since[a.zone]
-	if on && a.from.healthy(w.Now) && a.sentSince(since) && w.Now.Sub(since) > evacuateWithin {
-		c.violate(w, "evacuations-respected", "%s reaches %s in %s, which is evacuated since %s", a.id, a.replica, a.zone, w.Now.Sub(since))
+// checkEvacuation checks a request against the evacuation of its replica's zone.
+func (c *checker) checkEvacuation(w *World, a arrival) {
+	since, evacuated := c.evacuations.since[a.zone]
+	if evacuated && a.sender.healthy(w.Now) && a.sentSince(since) && w.Now.Sub(since) > evacuationGracePeriod {
+		c.reportViolation(w, "evacuations-respected", "%s reaches %s in %s, which has been evacuated for %s", a.id, a.replica, a.zone, w.Now.Sub(since))
 	}
 }
 
-// evacuationsKnown checks that a node in touch goes by the evacuations that are on, and by none that
-// was lifted.
-func (c *checker) evacuationsKnown(w *World, n *node) {
+// checkEvacuatedZones checks that a healthy node knows the zones that are evacuated, and no others.
+func (c *checker) checkEvacuatedZones(w *World, n *node) {
 	if len(c.evacuations.counts) == 0 || !n.healthy(w.Now) {
 		return
 	}
 	known := n.node.EvacuatedZones()
 	for zone := range zoneCount {
 		name := fmt.Sprintf("zone-%d", zone)
-		since, on := c.evacuations.since[name]
-		if !on {
+		since, evacuated := c.evacuations.since[name]
+		if !evacuated {
 			since = c.evacuations.lifted[name]
 		}
-		if slices.Contains(known, name) != on && w.Now.Sub(since) > evacuateWithin {
-			c.violate(w, "evacuations-respected", "%s goes by %v, %s has been evacuated (%t) for %s", n.name, known, name, on, w.Now.Sub(since))
+		if slices.Contains(known, name) != evacuated && w.Now.Sub(since) > evacuationGracePeriod {
+			c.reportViolation(w, "evacuations-respected", "%s has evacuated zones %v, the state of %s (evacuated: %t) has lasted for %s", n.name, known, name, evacuated, w.Now.Sub(since))
 			return
 		}
 	}
--- a/internal/simulation/clustersim/check_homes.go
+++ b/internal/simulation/clustersim/check_homes.go
@@ -10,40 +10,41 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// homesChange has the operators bind the requests of one model, and of the calls that score texts, to
-// a region for a while, or to a region in which nothing stands; then to none again.
-func homesChange(w *World, lasts time.Duration) {
-	homes := [][]string{{"region-0"}, {"region-1"}, {"region-0", "region-1"}, {"region-2"}}
-	to := homes[w.random.IntN(len(homes))]
-	w.operator.bind(models[0], to)
+// changeAllowedRegions restricts the route of a model, and in half of the cases that of scoring calls,
+// to a set of regions for a while. One of the sets has no replicas.
+func changeAllowedRegions(w *World, duration time.Duration) {
+	sets := [][]string{{"region-0"}, {"region-1"}, {"region-0", "region-1"}, {"region-2"}}
+	allowed := sets[w.random.IntN(len(sets))]
+	w.operator.setAllowedRegions(models[0], allowed)
 	if w.random.IntN(2) == 0 {
-		w.operator.bind(scorerName, to)
+		w.operator.setAllowedRegions(scorerName, allowed)
 	}
-	w.After(lasts, func() {
-		w.operator.bind(models[0], nil)
-		w.operator.bind(scorerName, nil)
+	w.After(duration, func() {
+		w.operator.setAllowedRegions(models[0], nil)
+		w.operator.setAllowedRegions(scorerName, nil)
 	})
 }
 
-// bind changes the homes of a route.
-func (o *operator) bind(route string, homes []string) {
+// setAllowedRegions changes the allowed regions of a route.
+func (o *operator) setAllowedRegions(route string, allowed []string) {
 	for i := range o.table.Routes {
 		if o.table.Routes[i].Name == route {
-			o.table.Routes[i].AllowedRegions = homes
+			o.table.Routes[i].AllowedRegions = allowed
 		}
 	}
 	o.table.Version++
 	o.write()
 }
 
-// homesRecord is what was told and seen of homes.
-type homesRecord struct {
-	// versions are the homes of each route by the version of the configuration.
+// allowedRegionsHistory records the allowed regions of all configuration versions and the regions in
+// which jobs were submitted.
+type allowedRegionsHistory struct {
+	// versions holds the allowed regions of each route by configuration version.
 	versions map[int64]map[string]port.AllowedRegions
-	// handedIn are the regions of the nodes that each job was handed to.
-	handedIn map[string][]string
-	// since is when each node came to go by its present homes.
-	since map[string]nodeVersion
+	// submitRegions holds the regions of the nodes to which each job was submitted.
+	submitRegions map[string][]string
+	// versionSince holds, by node, the time since which the allowed regions it uses have not changed.
+	versionSince map[string]nodeVersion
 }
 
 type nodeVersion struct {
@@ -51,12 +52,12 @@
 	at      time.Time
 }
 
-func newHomesRecord() homesRecord {
-	return homesRecord{versions: map[int64]map[string]port.AllowedRegions{}, handedIn: map[string][]string{}, since: map[string]nodeVersion{}}
+func newAllowedRegionsHistory() allowedRegionsHistory {
+	return allowedRegionsHistory{versions: map[int64]map[string]port.AllowedRegions{}, submitRegions: map[string][]string{}, versionSince: map[string]nodeVersion{}}
 }
 
-// written notes the homes of a version that the operators write.
-func (h homesRecord) written(table port.RouteTable) {
+// recordTable records the allowed regions of a configuration version.
+func (h allowedRegionsHistory) recordTable(table port.RouteTable) {
 	byRoute := map[string]port.AllowedRegions{}
 	for _, route := range table.Routes {
 		byRoute[route.Name] = port.NewAllowedRegions(route.AllowedRegions)
@@ -64,63 +65,65 @@
 	h.versions[table.Version] = byRoute
 }
 
-// handed notes that a job is handed to a node.
-func (h homesRecord) handed(job string, n *node) {
-	h.handedIn[job] = append(h.handedIn[job], regions[n.zone])
+// recordSubmission records that a job is submitted to a node.
+func (h allowedRegionsHistory) recordSubmission(job string, n *node) {
+	h.submitRegions[job] = append(h.submitRegions[job], regions[n.zone])
 }
 
-// of returns the homes of a route by the version that a node goes by.
-func (h homesRecord) of(n *node, route string) port.AllowedRegions {
+// forNode returns the allowed regions of a route in the configuration version that a node uses.
+func (h allowedRegionsHistory) forNode(n *node, route string) port.AllowedRegions {
 	if n.node.Routes() == nil {
 		return port.AllowedRegions{}
 	}
 	return h.versions[n.node.Routes().Version()][route]
 }
 
-// mayHold reports whether a node may hold the content of a job, by the version that it goes by.
-func (h homesRecord) mayHold(n *node, known *jobRecord) bool {
+// mayHoldContent reports whether a node may hold the content of a job: in the regions allowed by the
+// configuration version it uses, and in those in which the job was submitted.
+func (h allowedRegionsHistory) mayHoldContent(n *node, record *jobRecord) bool {
 	region := regions[n.zone]
-	return h.of(n, known.content.Route).Allows(region) || slices.Contains(h.handedIn[known.content.Id], region)
+	return h.forNode(n, record.content.Route).Allows(region) || slices.Contains(h.submitRegions[record.content.Id], region)
 }
 
-// sentTo checks what a node sends to a replica for a job, by a route or, if it is empty, by the job's: the node goes by some version, whether or
-// not it is in touch, and by that version both must lie where the job may be.
-func (c *checker) sentTo(w *World, n *node, known *jobRecord, route, request, zone string) {
-	if known == nil {
+// checkAllowedRegions checks that a request of a job and the node that sends it are in allowed
+// regions, by the configuration version that the node uses. An empty route stands for the job's route.
+func (c *checker) checkAllowedRegions(w *World, n *node, record *jobRecord, route, request, zone string) {
+	if record == nil {
 		return
 	}
 	if route == "" {
-		route = known.content.Route
+		route = record.content.Route
 	}
-	if homes := c.homes.of(n, route); !homes.Allows(regions[zone]) {
-		c.violate(w, "homes-kept", "%s sends %s to %s, its homes are %v", n.name, request, regions[zone], homes.Regions)
+	if allowed := c.allowedRegions.forNode(n, route); !allowed.Allows(regions[zone]) {
+		c.reportViolation(w, "homes-kept", "%s sends %s to %s, allowed regions are %v", n.name, request, regions[zone], allowed.Regions)
 	}
-	if !c.homes.mayHold(n, known) {
-		c.violate(w, "homes-kept", "%s in %s runs %s, its homes are %v", n.name, regions[n.zone], known.content.Id, c.homes.of(n, known.content.Route).Regions)
+	if !c.allowedRegions.mayHoldContent(n, record) {
+		c.reportViolation(w, "homes-kept", "%s in %s runs %s, allowed regions are %v", n.name, regions[n.zone], record.content.Id, c.allowedRegions.forNode(n, record.content.Route).Regions)
 	}
 }
 
-// wentBy notes the version that a node goes by.
-func (h homesRecord) wentBy(n *node, version int64, at time.Time) {
-	before, known := h.since[n.name]
-	if known && (before.version == version || reflect.DeepEqual(h.versions[before.version], h.versions[version])) {
+// recordVersion records the configuration version that a node uses.
+func (h allowedRegionsHistory) recordVersion(n *node, version int64, at time.Time) {
+	before, found := h.versionSince[n.name]
+	if found && (before.version == version || reflect.DeepEqual(h.versions[before.version], h.versions[version])) {
 		at = before.at
 	}
-	h.since[n.name] = nodeVersion{version, at}
+	h.versionSince[n.name] = nodeVersion{version, at}
 }
 
-// readsWithin is how long the reads of a content may go on that began under an older version.
-const readsWithin = 2 * time.Second
+// contentReadGracePeriod is how long reads of a job's content that began under an older configuration
+// may continue.
+const contentReadGracePeriod = 2 * time.Second
 
-// reads checks the reads of jobs' contents and texts, which owners make here, and nodes that collect a job's
-// records. Results alone are read anywhere, for clients.
-func (c *checker) reads(w *World, n *node, query port.RecordRange) {
+// checkContentRead checks that a node that reads a job's content and texts is in an allowed region.
+// Results may be read anywhere.
+func (c *checker) checkContentRead(w *World, n *node, query port.RecordRange) {
 	job, rest, _ := strings.Cut(query.From, "/")
-	known := c.jobs[job]
-	if query.Table != batch.DataTable || known == nil || strings.HasPrefix(rest, "r/") || n.node.Routes() == nil {
+	record := c.jobs[job]
+	if query.Table != batch.DataTable || record == nil || strings.HasPrefix(rest, "r/") || n.node.Routes() == nil {
 		return
 	}
-	if w.Now.Sub(c.homes.since[n.name].at) > readsWithin && !c.homes.mayHold(n, known) {
-		c.violate(w, "homes-kept", "%s in %s reads the content of %s", n.name, regions[n.zone], known.content.Id)
+	if w.Now.Sub(c.allowedRegions.versionSince[n.name].at) > contentReadGracePeriod && !c.allowedRegions.mayHoldContent(n, record) {
+		c.reportViolation(w, "homes-kept", "%s in %s reads the content of %s", n.name, regions[n.zone], record.content.Id)
 	}
 }
--- a/internal/simulation/clustersim/check_poison.go
+++ b/internal/simulation/clustersim/check_poison.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	// poisonItem begins the ids of items that crash the replicas that begin them, and is their body.
+	// poisonItem is the ID prefix and the body of items that crash the replicas that run them.
 	poisonItem = "poison"
-	// poisonDown is how long a replica is gone that such an item crashed.
-	poisonDown = 1500 * time.Millisecond
-	// crashesAtFirst is how many replicas such an item may crash before all nodes must know of it,
-	// which takes knownWithin; lateReplicas bounds those that it reaches after that. Replicas count and not
-	// runs: two jobs may hold such an item, whose runs meet at one replica before it ends, and the crashes
-	// that came first may have been seen by nodes alone that died with what they knew.
-	crashesAtFirst = 3
-	knownWithin    = 3 * time.Second
-	lateReplicas   = 3
+	// poisonRestartDelay is the time after which a replica crashed by such an item is replaced.
+	poisonRestartDelay = 1500 * time.Millisecond
+	// crashLimit is the number of crashes after which all nodes must quarantine such an item, within
+	// quarantineGracePeriod. maxLateReplicas limits the replicas that it may reach after that.
+	// Replicas are counted, not runs: items of two jobs can run at one replica when it crashes, and
+	// the nodes that saw the first crashes may have been killed.
+	crashLimit            = 3
+	quarantineGracePeriod = 3 * time.Second
+	maxLateReplicas       = 3
 )
 
 func isPoison(item string) bool { return strings.HasPrefix(item, poisonItem) }
 
-// poisonRecord is what was seen of the items of one path that crash replicas: they ask for the same.
+// poisonRecord is what was observed of the poison items of one path, which share a fingerprint.
 type poisonRecord struct {
 	crashes int
-	// limitAt is when the last crash was that nodes need not have stopped.
-	limitAt time.Time
-	// late holds the replicas that it reached after that.
-	late map[string]bool
+	// limitReachedAt is the time of the crash that reached crashLimit.
+	limitReachedAt time.Time
+	// lateReplicas holds the replicas crashed after the grace period.
+	lateReplicas map[string]bool
 }
 
-// poisonBegan checks a run that crashes its replica.
-func (c *checker) poisonBegan(w *World, one *run) {
-	known := c.poison[one.task.Target]
-	if known == nil {
-		known = &poisonRecord{late: map[string]bool{}}
-		c.poison[one.task.Target] = known
+// checkPoisonRun checks a run that crashes its replica.
+func (c *checker) checkPoisonRun(w *World, run *itemRun) {
+	record := c.poison[run.task.Target]
+	if record == nil {
+		record = &poisonRecord{lateReplicas: map[string]bool{}}
+		c.poison[run.task.Target] = record
 	}
-	known.crashes++
-	if known.crashes == crashesAtFirst {
-		known.limitAt = w.Now
+	record.crashes++
+	if record.crashes == crashLimit {
+		record.limitReachedAt = w.Now
 	}
-	if known.limitAt.IsZero() || w.Now.Sub(known.limitAt) <= knownWithin || !one.node.healthy(w.Now) {
+	if record.limitReachedAt.IsZero() || w.Now.Sub(record.limitReachedAt) <= quarantineGracePeriod || !run.node.healthy(w.Now) {
 		return
 	}
-	known.late[one.replica.ID] = true
-	if len(known.late) > lateReplicas {
-		c.violate(w, "crashes-bounded", "%s crashes replicas after it had crashed %d, %d of them by nodes that must know it", one.task.Item, known.crashes-1, len(known.late))
+	record.lateReplicas[run.replica.ID] = true
+	if len(record.lateReplicas) > maxLateReplicas {
+		c.reportViolation(w, "crashes-bounded", "%s crashes a replica after %d earlier crashes, %d replicas after the grace period", run.task.Item, record.crashes-1, len(record.lateReplicas))
 	}
 }
--- a/internal/simulation/clustersim/check_scoring.go
+++ b/internal/simulation/clustersim/check_scoring.go
@@ -7,93 +7,93 @@
 	doorstepv1 "github.com/doorstep/doorstep/api/doorstep/v1"
 )
 
-// scoringRecord is what was seen of an item's scoring calls.
+// scoringRecord is what was observed of an item's scoring calls.
 type scoringRecord struct {
-	// scores are those that were given, with the times at which their calls arrived.
+	// scores holds the scores that were returned, with the times at which their calls arrived.
 	scores map[string]time.Time
-	// calls counts those that ran, failures those that were answered with a failure.
+	// calls counts the calls that ran, failures those that returned an error.
 	calls, failures int
-	// wholeAt is when each version first made the text's last event.
-	wholeAt map[int64]time.Time
+	// completedAt holds the time at which each version first generated the last event of the text.
+	completedAt map[int64]time.Time
 }
 
-func (k *jobRecord) scoringOf(item string) *scoringRecord {
-	known := k.scoring[item]
-	if known == nil {
-		known = &scoringRecord{scores: map[string]time.Time{}, wholeAt: map[int64]time.Time{}}
-		k.scoring[item] = known
+func (r *jobRecord) scoringFor(item string) *scoringRecord {
+	record := r.scoring[item]
+	if record == nil {
+		record = &scoringRecord{scores: map[string]time.Time{}, completedAt: map[int64]time.Time{}}
+		r.scoring[item] = record
 	}
-	return known
+	return record
 }
 
-// jobOfCall returns the job and item of a scoring call, nil when there is none.
-func (c *checker) jobOfCall(call string) (known *jobRecord, item string) {
+// jobOfCall returns the job and the item of a scoring call. The job is nil if there is none.
+func (c *checker) jobOfCall(call string) (record *jobRecord, item string) {
 	item = strings.TrimSuffix(call, scoringSuffix)
-	known = c.itemJobs[item]
-	if known == nil || known.content.Items[known.items[item]].Scoring == nil {
+	record = c.itemJobs[item]
+	if record == nil || record.content.Items[record.itemIndexes[item]].Scoring == nil {
 		return nil, item
 	}
-	return known, item
+	return record, item
 }
 
-// scoringArrived checks a scoring call that reaches a scorer.
-func (c *checker) scoringArrived(w *World, one *scoringCall, s *scorer) {
-	known, item := c.jobOfCall(one.task.Request)
-	if known == nil {
-		c.violate(w, "nothing-unasked", "%s runs and belongs to no item", one.task.Request)
+// checkScoringCall checks a scoring call that reaches a scorer.
+func (c *checker) checkScoringCall(w *World, call *scoringCall, s *scorer) {
+	record, item := c.jobOfCall(call.task.Request)
+	if record == nil {
+		c.reportViolation(w, "nothing-unasked", "%s runs but belongs to no item", call.task.Request)
 		return
 	}
-	c.reached(w, known, arrival{id: one.task.Request, replica: s.id, zone: scorerZone, from: one.node, sentAt: one.sentAt, drainedAt: s.drainedAt})
-	if one.task.Tenant != known.content.Tenant {
-		c.violate(w, "tenant-true", "%s runs for tenant %q, its job's is %q", one.task.Request, one.task.Tenant, known.content.Tenant)
+	c.checkArrival(w, record, arrival{id: call.task.Request, replica: s.id, zone: scorerZone, sender: call.node, sentAt: call.sentAt, drainedAt: s.drainedAt})
+	if call.task.Tenant != record.content.Tenant {
+		c.reportViolation(w, "tenant-true", "%s runs for tenant %q, its job belongs to tenant %q", call.task.Request, call.task.Tenant, record.content.Tenant)
 	}
-	scoring := known.scoringOf(item)
+	scoring := record.scoringFor(item)
 	scoring.calls++
 	if strings.HasPrefix(item, unscorableItem) && scoring.calls > 3*maxAttempts {
-		c.violate(w, "attempts-bounded", "%s was called %d times", one.task.Request, scoring.calls)
+		c.reportViolation(w, "attempts-bounded", "%s was called %d times", call.task.Request, scoring.calls)
 	}
 }
 
-func (c *checker) scoringFailed(one *scoringCall) {
-	if known, item := c.jobOfCall(one.task.Request); known != nil {
-		known.scoringOf(item).failures++
+func (c *checker) recordScoringFailure(call *scoringCall) {
+	if record, item := c.jobOfCall(call.task.Request); record != nil {
+		record.scoringFor(item).failures++
 	}
 }
 
-func (c *checker) scoreGiven(one *scoringCall, score string, arrivedAt time.Time) {
+func (c *checker) recordScore(call *scoringCall, score string, arrivedAt time.Time) {
 	c.scoreCount++
-	if known, item := c.jobOfCall(one.task.Request); known != nil {
-		known.scoringOf(item).scores[score] = arrivedAt
+	if record, item := c.jobOfCall(call.task.Request); record != nil {
+		record.scoringFor(item).scores[score] = arrivedAt
 	}
 }
 
-// madeWhole notes that a version makes the last event of an item's text.
-func (c *checker) madeWhole(w *World, item string, version int64) {
-	known := c.itemJobs[item]
-	if known == nil {
+// recordCompletion records that a version generated the last event of an item's text.
+func (c *checker) recordCompletion(w *World, item string, version int64) {
+	record := c.itemJobs[item]
+	if record == nil {
 		return
 	}
-	if scoring := known.scoringOf(item); scoring.wholeAt[version].IsZero() {
-		scoring.wholeAt[version] = w.Now
+	if scoring := record.scoringFor(item); scoring.completedAt[version].IsZero() {
+		scoring.completedAt[version] = w.Now
 	}
 }
 
-// score checks that a completed result's score was given to its own item's call, and that
-// the call reached its scorer after the last event of the text was made.
-func (c *checker) score(w *World, known *jobRecord, result *doorstepv1.BatchResult, lastVersion int64) {
-	if known.content.Items[known.items[result.Id]].Scoring == nil {
+// checkScore checks that the score of a completed result was returned to a call of its own item, and
+// that the call arrived after the text was complete.
+func (c *checker) checkScore(w *World, record *jobRecord, result *doorstepv1.BatchResult, lastVersion int64) {
+	if record.content.Items[record.itemIndexes[result.Id]].Scoring == nil {
 		if result.Score != "" {
-			c.violate(w, "scores-true", "%s has a score that nobody asked for", result.Id)
+			c.reportViolation(w, "scores-true", "%s has a score without a scoring call", result.Id)
 		}
 		return
 	}
-	scoring := known.scoringOf(result.Id)
+	scoring := record.scoringFor(result.Id)
 	arrivedAt, given := scoring.scores[result.Score]
-	wholeAt := scoring.wholeAt[lastVersion]
+	wholeAt := scoring.completedAt[lastVersion]
 	switch {
 	case !given:
-		c.violate(w, "scores-true", "%s has the score %q, which its call was never given", result.Id, result.Score)
+		c.reportViolation(w, "scores-true", "%s has the score %q, which no call of it returned", result.Id, result.Score)
 	case wholeAt.IsZero() || arrivedAt.Before(wholeAt):
-		c.violate(w, "scores-true", "%s was scored before its text was whole", result.Id)
+		c.reportViolation(w, "scores-true", "%s was scored before its text was complete", result.Id)
 	}
 }
--- a/internal/simulation/clustersim/clustersim_test.go
+++ b/internal/simulation/clustersim/clustersim_test.go
@@ -12,15 +12,15 @@
 	testLength = 40 * time.Second
 )
 
-func play(seed uint64, faults []Fault) Report {
+func simulate(seed uint64, faults []Fault) Report {
 	return New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: faults}).Run()
 }
 
-func playUnfenced(seed uint64, faults []Fault) Report {
+func simulateUnfenced(seed uint64, faults []Fault) Report {
 	return New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: faults, Unfenced: true}).Run()
 }
 
-func report(t *testing.T, seed uint64, got Report) {
+func reportViolations(t *testing.T, seed uint64, got Report) {
 	t.Helper()
 	for _, violation := range got.Violations {
 		t.Errorf("seed %d: %s", seed, violation)
@@ -28,20 +28,20 @@
 }
 
 func TestCalm(t *testing.T) {
-	got := play(1, nil)
-	report(t, 1, got)
-	if got.Accepted < 20 || got.Accepted != got.Jobs || got.Results < got.Accepted*itemsOfJob*9/10 || got.Orders == 0 || got.Scores == 0 {
-		t.Errorf("%d of %d jobs accepted, %d results, %d orders: a calm run serves all", got.Accepted, got.Jobs, got.Results, got.Orders)
+	got := simulate(1, nil)
+	reportViolations(t, 1, got)
+	if got.Accepted < 20 || got.Accepted != got.Jobs || got.Results < got.Accepted*itemsPerJob*9/10 || got.Orders == 0 || got.Scores == 0 {
+		t.Errorf("%d of %d jobs accepted, %d results, %d orders, want all jobs served in a run without faults", got.Accepted, got.Jobs, got.Results, got.Orders)
 	}
 	if got.ExactWindows < 4 {
-		t.Errorf("%d windows of use were calm enough to be exact", got.ExactWindows)
+		t.Errorf("%d usage windows were checked for exact counts, want at least 4", got.ExactWindows)
 	}
 }
 
 func TestSameSeedSameRun(t *testing.T) {
-	first, second := play(7, Faults), play(7, Faults)
+	first, second := simulate(7, Faults), simulate(7, Faults)
 	if first.Results != second.Results || first.Orders != second.Orders || first.Reads != second.Reads {
-		t.Errorf("two runs of one seed differ: %+v and %+v", first, second)
+		t.Errorf("two runs of the same seed differ: %+v and %+v", first, second)
 	}
 }
 
@@ -50,8 +50,8 @@
 		t.Run(fault.Name, func(t *testing.T) {
 			t.Parallel()
 			seed := uint64(100 + i)
-			got := play(seed, []Fault{fault})
-			report(t, seed, got)
+			got := simulate(seed, []Fault{fault})
+			reportViolations(t, seed, got)
 			if got.Accepted == 0 || got.Results == 0 {
 				t.Errorf("%d jobs accepted, %d results", got.Accepted, got.Results)
 			}
@@ -63,25 +63,24 @@
 	for seed := range uint64(testSeeds) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			report(t, seed, play(seed, Faults))
+			reportViolations(t, seed, simulate(seed, Faults))
 		})
 	}
 }
 
-// TestUnfenced: where replicas check no fences, time and the count of orders hold two
-// holders apart.
+// TestUnfenced tests that two lease holders are kept apart by timing and order sequences if replicas do
+// not check fences.
 func TestUnfenced(t *testing.T) {
 	for seed := range uint64(testSeeds) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			report(t, seed, playUnfenced(seed, Faults))
+			reportViolations(t, seed, simulateUnfenced(seed, Faults))
 		})
 	}
 }
 
-// TestBystandersOfPoisonItems: one request crashes replicas, and nothing else is amiss. Other items run
-// beside it at five replicas, at two owners that do not know of one another's runs: 33 of them were
-// held in the twelve seeds while they did not run apart after a second crash, 3 are now.
+// TestBystandersOfPoisonItems tests that items that share replicas with a request that crashes them are
+// not quarantined in numbers. Owners do not know of one another's runs, so that a few may be.
 func TestBystandersOfPoisonItems(t *testing.T) {
 	faults, err := FindFaults("item-poison")
 	if err != nil {
@@ -90,29 +89,29 @@
 	for seed := range uint64(testSeeds) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			held := map[any]bool{}
+			quarantined := map[any]bool{}
 			options := Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: faults}
 			options.Log = func(_ string, _ time.Duration, number int, fields []any) {
 				if number == event.RequestQuarantined {
-					held[fields[1]] = true
+					quarantined[fields[1]] = true
 				}
 			}
-			report(t, seed, New(options).Run())
-			if len(held) > 2 {
-				t.Errorf("seed %d: %d requests were held, one crashes replicas", seed, len(held))
+			reportViolations(t, seed, New(options).Run())
+			if len(quarantined) > 2 {
+				t.Errorf("seed %d: %d requests were quarantined, only one crashes replicas", seed, len(quarantined))
 			}
 		})
 	}
 }
 
-// TestNodesThatRest: where nodes follow the list of replicas only while they own jobs or hold a lease, all
-// holds as well; those that rest make fewer calls.
+// TestNodesThatRest tests the invariants with nodes that follow the list of replicas only while they own
+// jobs or hold a lease.
 func TestNodesThatRest(t *testing.T) {
 	for seed := range uint64(testSeeds) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			got := New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: Faults, Resting: true}).Run()
-			report(t, seed, got)
+			reportViolations(t, seed, got)
 			if got.Accepted == 0 || got.Results == 0 {
 				t.Errorf("seed %d: %d jobs accepted, %d results", seed, got.Accepted, got.Results)
 			}
@@ -120,13 +119,13 @@
 	}
 }
 
-// TestUsageAfterAnOutage: seeds in which the nodes start while the store is away and some of their clocks have
-// jumped. The first two that told of theirs set the clock of usage.
+// TestUsageAfterAnOutage tests usage windows if nodes start while the store is unavailable and some wall
+// clocks have jumped. The usage clock must not be derived from the first two nodes that report theirs.
 func TestUsageAfterAnOutage(t *testing.T) {
 	for _, seed := range []uint64{700015} {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			report(t, seed, play(seed, Faults))
+			reportViolations(t, seed, simulate(seed, Faults))
 		})
 	}
 }
--- a/internal/simulation/clustersim/region.go
+++ b/internal/simulation/clustersim/region.go
@@ -9,118 +9,119 @@
 const (
 	// storeZone is the zone of the record store and of the platform's services.
 	storeZone = "zone-0"
-	// farRegion is the region that is not the store's.
+	// farRegion is the region without the record store.
 	farRegion = "region-1"
-	// leastSlow and mostSlow bound what a slow link adds each way: calls to the store are answered
-	// within their time. One of fullOneIn is full, at fullLink: none is.
-	leastSlow = 200 * time.Millisecond
-	mostSlow  = 390 * time.Millisecond
-	fullLink  = 2 * time.Second
-	fullOneIn = 4
+	// minSlowDelay and maxSlowDelay bound the extra one-way latency of a slow link, at which store
+	// calls are still answered in time. One in saturatedOneIn slow links has saturatedDelay, at which
+	// they all time out.
+	minSlowDelay   = 200 * time.Millisecond
+	maxSlowDelay   = 390 * time.Millisecond
+	saturatedDelay = 2 * time.Second
+	saturatedOneIn = 4
 )
 
-// link is the way between the two regions.
+// link is the network between the two regions.
 type link struct {
 	world *World
-	// noneOut and noneIn count the faults by which nothing leaves the far region, or comes there.
-	noneOut, noneIn int
-	// slow is what the faults that are on add each way.
-	slow time.Duration
+	// outboundCuts and inboundCuts count the active faults that block messages from and to the far
+	// region.
+	outboundCuts, inboundCuts int
+	// extraDelay is the one-way latency added by the active fault.
+	extraDelay time.Duration
 }
 
-// crosses reports whether the link lies between two zones.
+// crosses reports whether two zones are in different regions.
 func (l *link) crosses(from, to string) bool { return regions[from] != regions[to] }
 
-// way returns how much longer than within a region a message is under way between two zones, and
-// whether it is lost.
-func (l *link) way(from, to string) (longer time.Duration, lost bool) {
+// delay returns the extra latency of a message between two zones, and whether it is lost.
+func (l *link) delay(from, to string) (extraDelay time.Duration, lost bool) {
 	if !l.crosses(from, to) {
 		return 0, false
 	}
 	if regions[from] == farRegion {
-		lost = l.noneOut > 0
+		lost = l.outboundCuts > 0
 	} else {
-		lost = l.noneIn > 0
+		lost = l.inboundCuts > 0
 	}
-	return l.world.options.FarRegion + l.slow, lost
+	return l.world.options.FarRegion + l.extraDelay, lost
 }
 
-// cut reports whether a stream between two zones stands still: it does when either way is cut, as
-// nothing that is sent is acknowledged.
-func (l *link) cut(one, other string) bool {
-	return l.crosses(one, other) && l.noneOut+l.noneIn > 0
+// stalled reports whether a stream between two zones makes no progress. This is so if either direction
+// is cut, as nothing is acknowledged.
+func (l *link) stalled(a, b string) bool {
+	return l.crosses(a, b) && l.outboundCuts+l.inboundCuts > 0
 }
 
-// full reports whether no call over the link is answered in time.
-func (l *link) full() bool { return l.slow > mostSlow }
+// saturated reports whether all calls over the link time out.
+func (l *link) saturated() bool { return l.extraDelay > maxSlowDelay }
 
-// troubled reports whether a zone's way to the store is cut or slower than usual.
-func (l *link) troubled(zone string) bool {
-	return l.crosses(zone, storeZone) && (l.noneOut+l.noneIn > 0 || l.slow > 0)
+// degraded reports whether a zone's connection to the store is cut or slower than usual.
+func (l *link) degraded(zone string) bool {
+	return l.crosses(zone, storeZone) && (l.outboundCuts+l.inboundCuts > 0 || l.extraDelay > 0)
 }
 
-// begin brings a change of the link about, and notes that the far region's nodes are troubled
-// until it ends.
-func (l *link) begin(lasts time.Duration, change, back func()) {
+// apply changes the link, reverts the change after the duration and then records a fault for the nodes
+// of the far region.
+func (l *link) apply(duration time.Duration, change, revert func()) {
 	change()
-	l.world.After(lasts, func() {
-		back()
+	l.world.After(duration, func() {
+		revert()
 		for _, n := range l.world.nodes {
 			if regions[n.zone] == farRegion {
-				n.trouble(l.world.Now)
+				n.recordFault(l.world.Now)
 			}
 		}
 	})
 }
 
-// cutRegion cuts the far region off, or one way of its link alone.
-func cutRegion(w *World, lasts time.Duration) {
-	out, in := 1, 1
+// cutRegion cuts the link to the far region, in half of the cases in one direction only.
+func cutRegion(w *World, duration time.Duration) {
+	outbound, inbound := 1, 1
 	switch w.random.IntN(4) {
 	case 0:
-		out = 0
+		outbound = 0
 	case 1:
-		in = 0
+		inbound = 0
 	}
 	l := w.link
-	l.begin(lasts, func() { l.noneOut, l.noneIn = l.noneOut+out, l.noneIn+in }, func() { l.noneOut, l.noneIn = l.noneOut-out, l.noneIn-in })
+	l.apply(duration, func() { l.outboundCuts, l.inboundCuts = l.outboundCuts+outbound, l.inboundCuts+inbound }, func() { l.outboundCuts, l.inboundCuts = l.outboundCuts-outbound, l.inboundCuts-inbound })
 }
 
-// slowRegion makes the link to the far region slow, or so full that nothing comes in time.
-func slowRegion(w *World, lasts time.Duration) {
-	slow := leastSlow + time.Duration(w.random.Int64N(int64(mostSlow-leastSlow)))
-	if w.random.IntN(fullOneIn) == 0 {
-		slow = fullLink
+// slowRegion makes the link to the far region slow or saturated.
+func slowRegion(w *World, duration time.Duration) {
+	delay := minSlowDelay + time.Duration(w.random.Int64N(int64(maxSlowDelay-minSlowDelay)))
+	if w.random.IntN(saturatedOneIn) == 0 {
+		delay = saturatedDelay
 	}
 	l := w.link
-	if l.slow > 0 {
-		// Two at once would add up to a link that is neither.
+	if l.extraDelay > 0 {
+		// Overlapping slow links would add up to a delay between slow and saturated.
 		return
 	}
-	l.begin(lasts, func() { l.slow = slow }, func() { l.slow = 0 })
+	l.apply(duration, func() { l.extraDelay = delay }, func() { l.extraDelay = 0 })
 }
 
-// ownership is since when a node runs the items of a job.
+// ownership is the node that runs the items of a job, and since when.
 type ownership struct {
-	node  *node
-	life  uint64
-	since time.Time
+	node        *node
+	incarnation uint64
+	since       time.Time
 }
 
-// ownedLong is for how long an owner has run a job's items to be one that is not to be replaced.
-const ownedLong = time.Second
-
-// owners follows who runs which job, by what nodes log, and counts changes without a fault.
-type owners struct {
-	world *World
-	now   map[string]ownership
-	// taken counts take-overs from owners that did not hand the job over, lost the leases lost.
-	taken, lost int
-	// takes counts the take-overs by job.
-	takes map[string]int
+// minOwnership is the time after which an owner that reaches the store must not be replaced.
+const minOwnership = time.Second
+
+// ownershipTracker tracks the owners of jobs by the nodes' log entries and counts takeovers and lost
+// leases.
+type ownershipTracker struct {
+	world   *World
+	current map[string]ownership
+	// takeovers counts the takeovers from owners that did not hand over the job.
+	takeovers, leasesLost int
+	takeoversByJob        map[string]int
 }
 
-func field(fields []any, name string) any {
+func logField(fields []any, name string) any {
 	for i := 0; i+1 < len(fields); i += 2 {
 		if fields[i] == name {
 			return fields[i+1]
@@ -129,48 +130,49 @@
 	return nil
 }
 
-// logged takes a line of a node's log.
-func (o *owners) logged(n *node, number int, fields []any) {
-	job, _ := field(fields, "job").(string)
+// observe processes a log entry of a node.
+func (o *ownershipTracker) observe(n *node, number int, fields []any) {
+	job, _ := logField(fields, "job").(string)
 	switch number {
 	case event.JobAccepted:
-		if state, known := n.node.Jobs().Lookup(job); known && state.Owner == n.name {
-			o.begin(n, job)
+		if state, found := n.node.Jobs().Lookup(job); found && state.Owner == n.name {
+			o.setOwner(n, job)
 		}
 	case event.JobAssigned:
-		o.begin(n, job)
+		o.setOwner(n, job)
 	case event.JobTaken:
-		if former, _ := field(fields, "former").(string); former != "" && former != n.name {
-			o.taken++
-			o.takes[job]++
-			o.judge(n, former, job)
+		if former, _ := logField(fields, "former").(string); former != "" && former != n.name {
+			o.takeovers++
+			o.takeoversByJob[job]++
+			o.checkTakeover(n, former, job)
 		}
-		o.begin(n, job)
+		o.setOwner(n, job)
 	case event.LeaseLost:
-		o.lost++
+		o.leasesLost++
 	}
 }
 
-func (o *owners) begin(n *node, job string) {
-	o.now[job] = ownership{node: n, life: n.life, since: o.world.Now}
+func (o *ownershipTracker) setOwner(n *node, job string) {
+	o.current[job] = ownership{node: n, incarnation: n.incarnation, since: o.world.Now}
 }
 
-// judge checks that a job was not taken from an owner that ran it soundly.
-func (o *owners) judge(by *node, former, job string) {
-	w, held := o.world, o.now[job]
-	if held.node == nil || held.node.name != former || held.life != held.node.life || w.Now.Sub(held.since) < ownedLong {
+// checkTakeover checks that a job was not taken over from an owner that could reach the store.
+func (o *ownershipTracker) checkTakeover(newOwner *node, former, job string) {
+	w, previous := o.world, o.current[job]
+	if previous.node == nil || previous.node.name != former || previous.incarnation != previous.node.incarnation || w.Now.Sub(previous.since) < minOwnership {
 		return
 	}
-	if held.node.sound(w.Now) {
-		w.check.violate(w, "sound-owner-kept", "%s takes %s from %s, which ran it soundly for %s (link %s slower)", by.name, job, former, w.Now.Sub(held.since), w.link.slow)
+	if previous.node.reachesStore(w.Now) {
+		w.check.reportViolation(w, "sound-owner-kept", "%s takes over %s from %s, which reaches the store and has run it for %s (extra link latency %s)", newOwner.name, job, former, w.Now.Sub(previous.since), w.link.extraDelay)
 	}
 }
 
-// sound reports whether a node was able to write to the store for a while, at whatever distance.
-func (n *node) sound(now time.Time) bool {
+// reachesStore reports whether the node has been stable and its calls to the store are not lost or
+// timed out by the link.
+func (n *node) reachesStore(now time.Time) bool {
 	l := n.world.link
-	if l.crosses(n.zone, storeZone) && (l.noneOut+l.noneIn > 0 || l.full()) {
+	if l.crosses(n.zone, storeZone) && (l.outboundCuts+l.inboundCuts > 0 || l.saturated()) {
 		return false
 	}
-	return n.untroubled(now)
+	return n.stable(now)
 }
--- a/internal/simulation/clustersim/region_test.go
+++ b/internal/simulation/clustersim/region_test.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// playFar plays a deployment whose regions lie apart by so much each way.
-func playFar(seed uint64, apart time.Duration, unfenced bool, faults []Fault) Report {
-	return New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: faults, Unfenced: unfenced, FarRegion: apart}).Run()
+// simulateFarRegion runs a simulation with the given extra one-way latency between the regions.
+func simulateFarRegion(seed uint64, regionDelay time.Duration, unfenced bool, faults []Fault) Report {
+	return New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: faults, Unfenced: unfenced, FarRegion: regionDelay}).Run()
 }
 
-// TestFarRegionCalm: with a region 20 ms away (calls to the store take it 45 ms), and with one 45 ms
-// away, no node takes a job from a sound owner and no lease changes hands.
+// TestFarRegionCalm tests that latency between the regions alone causes no takeover of a job and no loss
+// of a lease.
 func TestFarRegionCalm(t *testing.T) {
-	for _, apart := range []time.Duration{20 * time.Millisecond, 45 * time.Millisecond} {
+	for _, regionDelay := range []time.Duration{20 * time.Millisecond, 45 * time.Millisecond} {
 		for seed := range uint64(3) {
-			t.Run(fmt.Sprintf("%s seed %d", apart, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s seed %d", regionDelay, seed), func(t *testing.T) {
 				t.Parallel()
-				got := playFar(seed, apart, false, nil)
-				report(t, seed, got)
+				got := simulateFarRegion(seed, regionDelay, false, nil)
+				reportViolations(t, seed, got)
 				if got.Taken > 0 || got.LeasesLost > 0 {
 					t.Errorf("%d jobs taken over, %d leases lost without a fault", got.Taken, got.LeasesLost)
 				}
 				if got.Accepted < 20 || got.Accepted != got.Jobs || got.ExactWindows < 4 {
-					t.Errorf("%d of %d jobs accepted, %d windows exact: a calm run serves all", got.Accepted, got.Jobs, got.ExactWindows)
+					t.Errorf("%d of %d jobs accepted, %d windows checked, want all jobs served in a run without faults", got.Accepted, got.Jobs, got.ExactWindows)
 				}
 			})
 		}
 	}
 }
 
-// TestFarRegionAllFaults: every fault, the regions' own among them, over regions that lie apart.
+// TestFarRegionAllFaults tests the invariants under all faults with latency between the regions.
 func TestFarRegionAllFaults(t *testing.T) {
 	for seed := range uint64(testSeeds) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			report(t, seed, playFar(seed, 45*time.Millisecond, seed%2 == 1, Faults))
+			reportViolations(t, seed, simulateFarRegion(seed, 45*time.Millisecond, seed%2 == 1, Faults))
 		})
 	}
 }
 
-// most returns the most calls of a second from one to before another.
-func most(calls map[int]int, from, to int) int {
+// peakRate returns the maximum number of calls per second from a second up to, but not including, another.
+func peakRate(calls map[int]int, from, to int) int {
 	peak := 0
 	for second := from; second < to; second++ {
 		peak = max(peak, calls[second])
@@ -50,11 +50,8 @@
 	return peak
 }
 
-// TestRegionReturns cuts the far region of a deployment of 87 nodes, 29 of them there, off for ten
-// seconds: its jobs are taken over, each once, and its return makes no storm of calls to the store. Each
-// node that returns reads its tables anew, 15 parts of them; all at once they may do so within one
-// second. Over five seeds the busiest second had 204 to 580 reads (94 to 180 in calm) and 107 to 197
-// writes (88 to 93).
+// TestRegionReturns tests that the jobs of a disconnected region are taken over once each, and that its
+// nodes do not overload the store when they reconnect and read their tables again, in 15 parts each.
 func TestRegionReturns(t *testing.T) {
 	t.Parallel()
 	const (
@@ -64,39 +61,39 @@
 	)
 	w := New(Options{Seed: seed, Nodes: 87, Replicas: 12, Length: until * time.Second, FarRegion: 20 * time.Millisecond})
 	w.After(cutAt*time.Second, func() {
-		w.link.begin((backAt-cutAt)*time.Second, func() { w.link.noneOut++; w.link.noneIn++ }, func() { w.link.noneOut--; w.link.noneIn-- })
+		w.link.apply((backAt-cutAt)*time.Second, func() { w.link.outboundCuts++; w.link.inboundCuts++ }, func() { w.link.outboundCuts--; w.link.inboundCuts-- })
 	})
 	got := w.Run()
-	report(t, seed, got)
+	reportViolations(t, seed, got)
 	s := w.store
 	for _, c := range []struct {
 		name  string
 		calls map[int]int
-		// more is by how many calls a second may exceed the busiest of the calm.
+		// more is the allowed increase of the peak rate.
 		more int
 	}{{"reads", s.reads, farNodes * parts}, {"writes", s.writes, 5 * farNodes}, {"watches", s.watches, 5 * farNodes}} {
-		calm, back := most(c.calls, calmFrom, cutAt), most(c.calls, backAt, until)
+		calm, back := peakRate(c.calls, calmFrom, cutAt), peakRate(c.calls, backAt, until)
 		if back > calm+c.more {
-			t.Errorf("%s: %d in the busiest second after the return, %d in calm", c.name, back, calm)
+			t.Errorf("%s: peak of %d per second after the link is restored, %d before the cut", c.name, back, calm)
 		}
 	}
-	for job, takes := range w.owners.takes {
-		if takes > 1 {
-			t.Errorf("%s was taken over %d times", job, takes)
+	for job, takeovers := range w.owners.takeoversByJob {
+		if takeovers > 1 {
+			t.Errorf("%s was taken over %d times", job, takeovers)
 		}
 	}
 	if got.Taken == 0 || got.Accepted < got.Jobs {
-		t.Errorf("%d jobs taken over from the region that is cut off, %d of %d accepted", got.Taken, got.Accepted, got.Jobs)
+		t.Errorf("%d jobs taken over from the disconnected region, %d of %d accepted", got.Taken, got.Accepted, got.Jobs)
 	}
 }
 
-// TestContentStaysInItsHomes: seeds in which homes change while the store gives an owner no answer. It went on
-// reading a job's content from a region that was no home any more.
-func TestContentStaysInItsHomes(t *testing.T) {
+// TestContentStaysInAllowedRegions tests that an owner stops reading a job's content from a region that
+// is no longer allowed, also if the store does not respond while that changes.
+func TestContentStaysInAllowedRegions(t *testing.T) {
 	for _, seed := range []uint64{700169} {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			report(t, seed, play(seed, Faults))
+			reportViolations(t, seed, simulate(seed, Faults))
 		})
 	}
 }
--- a/internal/simulation/clustersim/scorer.go
+++ b/internal/simulation/clustersim/scorer.go
@@ -14,22 +14,21 @@
 )
 
 const (
-	scorerName    = "scorer"
-	scorerZone    = "zone-0"
-	scorerCount   = 3
-	scorerSlots   = 4
-	scoringTime   = 30 * time.Millisecond
-	slowScoring   = 600 * time.Millisecond
-	scoringPath   = "/score/x"
-	scoringSuffix = ".score"
-	// unscorableItem begins the ids of items whose scoring calls always fail.
+	scorerName          = "scorer"
+	scorerZone          = "zone-0"
+	scorerCount         = 3
+	scorerSlots         = 4
+	scoringDuration     = 30 * time.Millisecond
+	slowScoringDuration = 600 * time.Millisecond
+	scoringPath         = "/score/x"
+	scoringSuffix       = ".score"
+	// unscorableItem is the ID prefix of items whose scoring calls always fail.
 	unscorableItem = "unscorable"
 )
 
-// errNoAnswer says that a scoring call brought no answer.
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// scorer is one incarnation of a replica of the service that scores texts.
+// scorer is one incarnation of a replica of the scoring service.
 type scorer struct {
 	world     *World
 	id        string
@@ -37,67 +36,67 @@
 	up        bool
 	drainedAt time.Time
 	running   int
-	// counts of the faults that are on.
-	dark, failing, losing, slow int
+	// Counters of active faults.
+	unresponsive, failing, losing, slow int
 }
 
 func (w *World) addScorer(address string) {
 	w.check.incarnations++
 	s := &scorer{world: w, id: fmt.Sprintf("scorer-%d", w.check.incarnations), address: address, up: true}
 	w.scorers = append(w.scorers, s)
-	s.list()
+	s.writeRecord()
 }
 
-// list writes the scorer's record.
-func (s *scorer) list() {
+// writeRecord writes the scorer's record to the store.
+func (s *scorer) writeRecord() {
 	value, err := json.Marshal(port.ReplicaRecord{
 		ID: s.id, Service: scorerName, Address: s.address, Zone: scorerZone, Slots: scorerSlots, Draining: !s.drainedAt.IsZero(),
 	})
 	if err != nil {
-		panic("a scorer must encode: " + err.Error())
+		panic("encode scorer record: " + err.Error())
 	}
-	s.world.store.records.Commit(s.world.Now, port.RecordTransaction{Puts: []port.Record{{RecordKey: s.key(), Value: value}}})
+	s.world.store.records.Commit(s.world.Now, port.RecordTransaction{Puts: []port.Record{{RecordKey: s.recordKey(), Value: value}}})
 }
 
-func (s *scorer) key() port.RecordKey { return port.RecordKey{Table: replicaTable, Key: s.id} }
+func (s *scorer) recordKey() port.RecordKey { return port.RecordKey{Table: replicaTable, Key: s.id} }
 
-// crash ends the scorer; another takes its address after a while.
+// crash ends the scorer. A new scorer starts at its address after the given time.
 func (s *scorer) crash(down time.Duration) {
 	if !s.up {
 		return
 	}
 	s.up = false
 	w := s.world
-	w.After(3*beatEvery, func() {
-		w.store.records.Commit(w.Now, port.RecordTransaction{Deletes: []port.RecordKey{s.key()}})
+	w.After(3*heartbeatInterval, func() {
+		w.store.records.Commit(w.Now, port.RecordTransaction{Deletes: []port.RecordKey{s.recordKey()}})
 	})
 	w.After(down, func() { w.addScorer(s.address) })
 }
 
-// drain announces that the scorer leaves; it serves on for a while.
+// drain marks the scorer as draining and ends it after drainPeriod.
 func (s *scorer) drain() {
 	if !s.up || !s.drainedAt.IsZero() {
 		return
 	}
 	s.drainedAt = s.world.Now
-	s.list()
-	s.world.After(drainTime, func() { s.crash(time.Second) })
+	s.writeRecord()
+	s.world.After(drainPeriod, func() { s.crash(time.Second) })
 }
 
-// anyScorer returns a scorer that is up, or the last one if none is.
-func (w *World) anyScorer() *scorer {
+// randomScorer returns a scorer that is up, or the last one if it finds none.
+func (w *World) randomScorer() *scorer {
 	for range w.scorers {
-		if one := w.scorers[w.random.IntN(len(w.scorers))]; one.up {
-			return one
+		if s := w.scorers[w.random.IntN(len(w.scorers))]; s.up {
+			return s
 		}
 	}
 	return w.scorers[len(w.scorers)-1]
 }
 
 func (w *World) scorerAt(address string) *scorer {
-	for _, one := range w.scorers {
-		if one.address == address && one.up {
-			return one
+	for _, s := range w.scorers {
+		if s.address == address && s.up {
+			return s
 		}
 	}
 	return nil
@@ -105,84 +104,85 @@
 
 // scoringCall is one attempt of a scoring call at a scorer.
 type scoringCall struct {
-	task  task.ScoringCall
-	node  *node
-	life  uint64
-	ended bool
-	// sentAt is when its node sent it.
-	sentAt time.Time
+	task        task.ScoringCall
+	node        *node
+	incarnation uint64
+	ended       bool
+	sentAt      time.Time
 }
 
-func (w *World) startScoring(n *node, life uint64, t task.ScoringCall) {
-	one := &scoringCall{task: t, node: n, life: life, sentAt: w.Now}
-	n.calls[t.ID] = one
-	known, _ := w.check.jobOfCall(t.Request)
-	w.check.sentTo(w, n, known, scorerName, t.Request, scorerZone)
-	w.After(t.Limit, func() { one.end(task.ScoringResult{Outcome: relay.Broken, Err: errNoAnswer}) })
-	longer, lost := w.link.way(n.zone, scorerZone)
-	w.After(callLatency+longer, func() {
+func (w *World) startScoring(n *node, incarnation uint64, t task.ScoringCall) {
+	call := &scoringCall{task: t, node: n, incarnation: incarnation, sentAt: w.Now}
+	n.calls[t.ID] = call
+	record, _ := w.check.jobOfCall(t.Request)
+	w.check.checkAllowedRegions(w, n, record, scorerName, t.Request, scorerZone)
+	w.After(t.Limit, func() { call.end(task.ScoringResult{Outcome: relay.Broken, Err: errNoResponse}) })
+	extraDelay, lost := w.link.delay(n.zone, scorerZone)
+	w.After(callLatency+extraDelay, func() {
 		s := w.scorerAt(t.Address)
 		switch {
-		case one.ended || lost:
+		case call.ended || lost:
 		case s == nil:
-			one.end(task.ScoringResult{Outcome: relay.Refused, Err: errNoAnswer})
-		case s.dark > 0:
+			call.end(task.ScoringResult{Outcome: relay.Refused, Err: errNoResponse})
+		case s.unresponsive > 0:
 		case s.id != t.Replica:
-			one.end(task.ScoringResult{Outcome: relay.NotRun, Status: http.StatusMisdirectedRequest})
+			call.end(task.ScoringResult{Outcome: relay.NotRun, Status: http.StatusMisdirectedRequest})
 		case s.running >= scorerSlots:
-			one.end(task.ScoringResult{Outcome: relay.NotRun, Status: http.StatusServiceUnavailable})
+			call.end(task.ScoringResult{Outcome: relay.NotRun, Status: http.StatusServiceUnavailable})
 		default:
-			w.check.scoringArrived(w, one, s)
-			s.run(one)
+			w.check.checkScoringCall(w, call, s)
+			s.serve(call)
 		}
 	})
 }
 
-// run answers a call in the way that the scorer's faults and the call's id tell.
-func (s *scorer) run(one *scoringCall) {
+// serve answers a call depending on the active faults and the prefix of its ID.
+func (s *scorer) serve(call *scoringCall) {
 	w := s.world
-	takes := scoringTime
+	duration := scoringDuration
 	if s.slow > 0 {
-		takes = slowScoring
+		duration = slowScoringDuration
 	}
 	arrivedAt := w.Now
 	s.running++
-	w.After(takes, func() {
+	w.After(duration, func() {
 		s.running--
 		switch {
 		case !s.up || s.losing > 0 && w.random.IntN(2) == 0:
-			one.end(task.ScoringResult{Outcome: relay.Broken, Err: errNoAnswer})
-		case strings.HasPrefix(one.task.Request, unscorableItem) || s.failing > 0 && w.random.IntN(2) == 0:
-			w.check.scoringFailed(one)
-			one.end(task.ScoringResult{Outcome: relay.Errored, Status: http.StatusInternalServerError})
+			call.end(task.ScoringResult{Outcome: relay.Broken, Err: errNoResponse})
+		case strings.HasPrefix(call.task.Request, unscorableItem) || s.failing > 0 && w.random.IntN(2) == 0:
+			w.check.recordScoringFailure(call)
+			call.end(task.ScoringResult{Outcome: relay.Errored, Status: http.StatusInternalServerError})
 		default:
-			score := fmt.Sprintf("%s.%s.%d", s.id, one.task.Request, w.check.scoreCount)
-			w.check.scoreGiven(one, score, arrivedAt)
-			one.end(task.ScoringResult{Outcome: relay.Answered, Status: http.StatusOK, Score: score})
+			score := fmt.Sprintf("%s.%s.%d", s.id, call.task.Request, w.check.scoreCount)
+			w.check.recordScore(call, score, arrivedAt)
+			call.end(task.ScoringResult{Outcome: relay.Answered, Status: http.StatusOK, Score: score})
 		}
 	})
 }
 
-// stop cancels the call, as its node wants.
-func (one *scoringCall) stop() { one.end(task.ScoringResult{Outcome: relay.Broken, Err: errNoAnswer}) }
+// stop cancels the call on request of its node.
+func (call *scoringCall) stop() {
+	call.end(task.ScoringResult{Outcome: relay.Broken, Err: errNoResponse})
+}
 
-// abandon ends the call without a word to its node, which is gone.
-func (one *scoringCall) abandon() {
-	one.life = 0
-	one.stop()
+// abandon ends the call without notifying its node, which is down.
+func (call *scoringCall) abandon() {
+	call.incarnation = 0
+	call.stop()
 }
 
-func (one *scoringCall) end(result task.ScoringResult) {
-	if one.ended {
+func (call *scoringCall) end(result task.ScoringResult) {
+	if call.ended {
 		return
 	}
-	one.ended = true
-	n, life := one.node, one.life
-	longer, _ := n.world.link.way(scorerZone, n.zone)
-	n.world.After(callLatency+longer, func() {
-		n.do(life, func(now time.Time) {
-			delete(n.calls, one.task.ID)
-			one.task.Done(now, result)
+	call.ended = true
+	n, incarnation := call.node, call.incarnation
+	extraDelay, _ := n.world.link.delay(scorerZone, n.zone)
+	n.world.After(callLatency+extraDelay, func() {
+		n.invoke(incarnation, func(now time.Time) {
+			delete(n.calls, call.task.ID)
+			call.task.Done(now, result)
 		})
 	})
 }
--- a/internal/simulation/clustersim/store.go
+++ b/internal/simulation/clustersim/store.go
@@ -9,27 +9,26 @@
 )
 
 const (
-	// callLatency is the usual time to the store or back, slowLatency the most while it
-	// is slow, answerTimeout when a caller gives a call up.
-	callLatency   = 2 * time.Millisecond
-	slowLatency   = 1200 * time.Millisecond
-	answerTimeout = 900 * time.Millisecond
-	watchPoll     = 10 * time.Millisecond
+	// callLatency is the minimum one-way latency of a store call and maxSlowLatency its upper bound
+	// while the store is slow. callTimeout is the timeout of a call.
+	callLatency       = 2 * time.Millisecond
+	maxSlowLatency    = 1200 * time.Millisecond
+	callTimeout       = 900 * time.Millisecond
+	watchPollInterval = 10 * time.Millisecond
 )
 
-// store is the record store as nodes reach it.
+// store is the record store, with the latency, loss and refusals that its callers see.
 type store struct {
 	world   *World
 	records *model.Records
-	// counts of the faults that are on.
-	silent, refusing, slow, losing, partly int
-	troubledAt                             time.Time
-	// reads, writes and watches count the calls that reached the store, by the second since the
-	// epoch.
+	// Counters of active faults.
+	silent, refusing, slow, losing, partial int
+	lastFaultAt                             time.Time
+	// reads, writes and watches count the calls that reached the store by the second since epoch.
 	reads, writes, watches map[int]int
 }
 
-func count(calls map[int]int, now time.Time) { calls[int(now.Sub(epoch)/time.Second)]++ }
+func countCall(calls map[int]int, now time.Time) { calls[int(now.Sub(epoch)/time.Second)]++ }
 
 func newStore(w *World) *store {
 	return &store{world: w, reads: map[int]int{}, writes: map[int]int{}, watches: map[int]int{}, records: model.NewRecords(w.Now, model.RecordsOptions{
@@ -37,34 +36,32 @@
 	})}
 }
 
-// stable reports whether the store has been without trouble for a while.
+// stable reports whether the store has had no active fault for a while.
 func (s *store) stable(now time.Time) bool {
-	const inTouch = 3 * time.Second
-	if s.silent+s.refusing+s.slow+s.losing+s.partly > 0 {
-		s.troubledAt = now
+	const recoveryPeriod = 3 * time.Second
+	if s.silent+s.refusing+s.slow+s.losing+s.partial > 0 {
+		s.lastFaultAt = now
 	}
-	return now.Sub(s.troubledAt) > inTouch
+	return now.Sub(s.lastFaultAt) > recoveryPeriod
 }
 
-// latency is the time to the store or back.
+// latency returns the one-way latency of a call.
 func (s *store) latency() time.Duration {
 	if s.slow > 0 {
-		return time.Duration(s.world.random.Int64N(int64(slowLatency)))
+		return time.Duration(s.world.random.Int64N(int64(maxSlowLatency)))
 	}
 	return callLatency + time.Duration(s.world.random.Int64N(int64(callLatency)))
 }
 
-// unreachable reports whether a call of a node gets lost, and refused whether it is
-// turned away.
+// unreachable reports whether a message between a node and the store is lost.
 func (s *store) unreachable(n *node) bool {
-	return n.cut > 0 || s.silent > 0 || s.partly > 0 && s.world.random.IntN(3) == 0
+	return n.storeCuts > 0 || s.silent > 0 || s.partial > 0 && s.world.random.IntN(3) == 0
 }
 
 func (s *store) refused() bool { return s.refusing > 0 && s.world.random.IntN(4) > 0 }
 
-// call makes one call; a call that outlives its time is given up, but is done all the
-// same.
-func (s *store) call(n *node, allowance time.Duration, do func(now time.Time) port.RecordResult, done func(result port.RecordResult)) {
+// call makes one call. A call that times out takes effect all the same if it reaches the store.
+func (s *store) call(n *node, timeout time.Duration, perform func(now time.Time) port.RecordResult, done func(result port.RecordResult)) {
 	w := s.world
 	answered := false
 	answer := func(result port.RecordResult) {
@@ -73,7 +70,7 @@
 			done(result)
 		}
 	}
-	w.After(allowance, func() { answer(port.RecordResult{Status: port.RecordUnknown}) })
+	w.After(timeout, func() { answer(port.RecordResult{Status: port.RecordUnknown}) })
 	if s.unreachable(n) {
 		return
 	}
@@ -81,13 +78,13 @@
 		w.After(callLatency, func() { answer(port.RecordResult{Status: port.RecordRefused}) })
 		return
 	}
-	out, lost := w.link.way(n.zone, storeZone)
+	out, lost := w.link.delay(n.zone, storeZone)
 	if lost {
 		return
 	}
 	w.After(s.latency()+out, func() {
-		result := do(w.Now)
-		back, lost := w.link.way(storeZone, n.zone)
+		result := perform(w.Now)
+		back, lost := w.link.delay(storeZone, n.zone)
 		w.After(s.latency()+back, func() {
 			if !lost && !s.unreachable(n) {
 				answer(result)
@@ -96,52 +93,53 @@
 	})
 }
 
-func (s *store) read(n *node, do func(now time.Time) port.RecordResult, done func(result port.RecordResult)) {
-	s.call(n, answerTimeout, func(now time.Time) port.RecordResult {
-		count(s.reads, now)
-		return do(now)
+func (s *store) read(n *node, perform func(now time.Time) port.RecordResult, done func(result port.RecordResult)) {
+	s.call(n, callTimeout, func(now time.Time) port.RecordResult {
+		countCall(s.reads, now)
+		return perform(now)
 	}, done)
 }
 
-// write makes a writing call; its answer may be lost, and its effect come late.
-func (s *store) write(n *node, do func(now time.Time) port.RecordResult, done func(result port.RecordResult)) {
+// write makes a write call. While losing is raised, a third of the writes get no answer, and half of
+// these take effect up to 6 s late.
+func (s *store) write(n *node, perform func(now time.Time) port.RecordResult, done func(result port.RecordResult)) {
 	w := s.world
 	if s.losing == 0 || w.random.IntN(3) > 0 {
-		s.call(n, answerTimeout, func(now time.Time) port.RecordResult {
-			count(s.writes, now)
-			return do(now)
+		s.call(n, callTimeout, func(now time.Time) port.RecordResult {
+			countCall(s.writes, now)
+			return perform(now)
 		}, done)
 		return
 	}
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	if w.random.IntN(2) == 0 {
-		late = time.Second + time.Duration(w.random.Int64N(int64(5*time.Second)))
+		delay = time.Second + time.Duration(w.random.Int64N(int64(5*time.Second)))
 	}
-	w.After(late, func() { do(w.Now) })
-	w.After(answerTimeout, func() { done(port.RecordResult{Status: port.RecordUnknown}) })
+	w.After(delay, func() { perform(w.Now) })
+	w.After(callTimeout, func() { done(port.RecordResult{Status: port.RecordUnknown}) })
 }
 
-// watch holds a call until the table changes.
+// watch is a long poll: it returns when the table changes or t.Wait has passed.
 func (s *store) watch(n *node, t task.Watch, done func(result port.RecordResult)) {
 	w := s.world
 	until := w.Now.Add(t.Wait)
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		result, _ := s.records.Changes(w.Now, t.Table, t.After)
 		if result.Status == port.RecordDone && len(result.Records) == 0 && w.Now.Before(until) {
-			w.After(watchPoll, look)
+			w.After(watchPollInterval, poll)
 			return
 		}
-		s.call(n, answerTimeout, func(time.Time) port.RecordResult { return result }, done)
+		s.call(n, callTimeout, func(time.Time) port.RecordResult { return result }, done)
 	}
-	s.call(n, answerTimeout, func(now time.Time) port.RecordResult {
-		count(s.watches, now)
+	s.call(n, callTimeout, func(now time.Time) port.RecordResult {
+		countCall(s.watches, now)
 		return port.RecordResult{Status: port.RecordDone}
 	}, func(result port.RecordResult) {
 		if result.Status != port.RecordDone {
 			done(result)
 			return
 		}
-		look()
+		poll()
 	})
 }
--- a/internal/simulation/clustersim/trainer.go
+++ b/internal/simulation/clustersim/trainer.go
@@ -12,36 +12,37 @@
 
 const (
 	host = "host.example"
-	// stepEvery is how often a trainer asks, resultsWithin how long it waits.
-	stepEvery     = 3 * time.Second
-	resultsWithin = 7 * time.Second
-	readEvery     = 400 * time.Millisecond
-	itemsOfJob    = 24
-	itemsOfGroup  = 4
-	// desiredGroups is how many whole groups a trainer waits for.
+	// stepInterval is the interval between a trainer's jobs, resultDeadline how long it waits for
+	// results.
+	stepInterval   = 3 * time.Second
+	resultDeadline = 7 * time.Second
+	readInterval   = 400 * time.Millisecond
+	itemsPerJob    = 24
+	itemsPerGroup  = 4
+	// desiredGroups is the number of complete groups that a trainer waits for.
 	desiredGroups = 5
-	// unscoredOneIn is the part of the jobs, one in so many, without scoring calls.
+	// One in unscoredOneIn jobs has no scoring calls.
 	unscoredOneIn = 4
-	// triesOfJob bounds the nodes that a job is handed to.
-	triesOfJob = 4
-	// impossibleItem and failingItem begin the ids of items that can't be done.
+	// maxSubmitAttempts is the maximum number of submissions of a job.
+	maxSubmitAttempts = 4
+	// impossibleItem and failingItem are ID prefixes of items that cannot be completed.
 	impossibleItem = "impossible"
 	failingItem    = "failing"
 	maxAttempts    = 3
 	maxQueue       = 15 * time.Second
-	configEvery    = 4 * time.Second
+	configInterval = 4 * time.Second
 )
 
-// operator changes the configuration and keeps the models' newest versions.
+// operator writes the configuration and the target versions of models.
 type operator struct {
 	world   *World
 	table   port.RouteTable
 	targets map[string]int64
-	// counts of the faults of orders that are on.
+	// Counters of active faults.
 	lateOrders, slowOrders int
-	// poison is raised while each job has an item that crashes replicas.
+	// poison counts the active faults during which each job of the first model has a poison item.
 	poison int
-	// changes are the acknowledged versions with their times.
+	// changes are the configuration versions written, with their times.
 	changes []configurationChange
 }
 
@@ -56,7 +57,7 @@
 	for _, name := range models {
 		o.table.Routes = append(o.table.Routes, port.Route{
 			Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: port.RouteBatch, MaxAttempts: maxAttempts, MaxQueue: maxQueue,
-			ResultDeadline: resultsWithin, Backends: []port.Backend{{Service: generatorName, Weight: 1}}, SingleVersion: name == singleVersionModel,
+			ResultDeadline: resultDeadline, Backends: []port.Backend{{Service: generatorName, Weight: 1}}, SingleVersion: name == singleVersionModel,
 		})
 	}
 	o.table.Routes = append(o.table.Routes, port.Route{
@@ -66,9 +67,9 @@
 	return o
 }
 
-func (o *operator) begin() {
+func (o *operator) start() {
 	o.write()
-	o.world.Every(configEvery, func() bool {
+	o.world.Every(configInterval, func() bool {
 		o.table.Version += 1 + int64(o.world.random.IntN(3))
 		o.write()
 		return true
@@ -76,7 +77,7 @@
 }
 
 func (o *operator) write() {
-	o.world.check.homes.written(o.table)
+	o.world.check.allowedRegions.recordTable(o.table)
 	o.put(routesKey, o.table)
 	o.changes = append(o.changes, configurationChange{o.table.Version, o.world.Now})
 }
@@ -84,20 +85,20 @@
 func (o *operator) put(key string, content any) {
 	value, err := json.Marshal(content)
 	if err != nil {
-		panic("an operator's record must encode: " + err.Error())
+		panic("encode operator record: " + err.Error())
 	}
 	record := port.Record{RecordKey: port.RecordKey{Table: operatorTable, Key: key}, Value: value}
 	if o.world.store.records.Commit(o.world.Now, port.RecordTransaction{Puts: []port.Record{record}}).Status != port.RecordDone {
-		panic("the operator's write was refused")
+		panic("operator write was rejected")
 	}
 }
 
-func (o *operator) name(model string, version int64) {
+func (o *operator) setTarget(model string, version int64) {
 	o.targets[model] = version
 	o.put(targetPrefix+model, port.VersionTarget{Model: model, Version: version})
 }
 
-// trainer asks for a job after the other and names a version after each.
+// trainer submits one job after another and sets a new target version after each.
 type trainer struct {
 	world *World
 	model string
@@ -108,10 +109,10 @@
 	return &trainer{world: w, model: model, steps: index * 1000}
 }
 
-// step hands the next job in.
+// step submits the next job.
 func (t *trainer) step() {
 	w := t.world
-	if !w.faulty {
+	if !w.faultsActive {
 		return
 	}
 	t.steps++
@@ -121,7 +122,7 @@
 		Model: t.model, MinVersion: max(target-1, 1), DesiredGroups: desiredGroups, Tenant: tenantName(t.steps / 1000),
 	}
 	scored := w.random.IntN(unscoredOneIn) != 0
-	for i := range itemsOfJob {
+	for i := range itemsPerJob {
 		id := fmt.Sprintf("item-%d-%d", t.steps, i)
 		switch w.random.IntN(60) {
 		case 0:
@@ -136,108 +137,109 @@
 			id = poisonItem + id
 			body = []byte(poisonItem)
 		}
-		one := &doorstepv1.BatchItem{
+		item := &doorstepv1.BatchItem{
 			Id: id, Path: "/" + t.model + "/y", Headers: []*doorstepv1.Header{{Name: "model", Value: t.model}},
-			Body: body, Group: fmt.Sprintf("group-%d", i/itemsOfGroup),
+			Body: body, Group: fmt.Sprintf("group-%d", i/itemsPerGroup),
 		}
 		if scored {
-			one.Scoring = &doorstepv1.ScoringCall{Id: id + scoringSuffix, Host: host, Path: scoringPath}
+			item.Scoring = &doorstepv1.ScoringCall{Id: id + scoringSuffix, Host: host, Path: scoringPath}
 		}
-		job.Items = append(job.Items, one)
+		job.Items = append(job.Items, item)
 	}
-	known := w.check.job(job)
-	known.sentAt = w.Now
-	w.After(stepEvery, t.step)
-	t.submit(job, known, triesOfJob)
+	record := w.check.addJob(job)
+	record.sentAt = w.Now
+	w.After(stepInterval, t.step)
+	t.submit(job, record, maxSubmitAttempts)
 }
 
-// submit hands a job to some node until it is accepted.
-func (t *trainer) submit(job *doorstepv1.BatchJob, known *jobRecord, tries int) {
+// submit submits a job to random nodes until one accepts it.
+func (t *trainer) submit(job *doorstepv1.BatchJob, record *jobRecord, tries int) {
 	w := t.world
 	if tries == 0 {
 		return
 	}
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	answered := false
-	known.pending++
-	w.check.homes.handed(job.Id, n)
-	again := func() {
+	record.pendingSubmissions++
+	w.check.allowedRegions.recordSubmission(job.Id, n)
+	retry := func() {
 		if !answered {
 			answered = true
-			known.pending--
-			w.After(300*time.Millisecond, func() { t.submit(job, known, tries-1) })
+			record.pendingSubmissions--
+			w.After(300*time.Millisecond, func() { t.submit(job, record, tries-1) })
 		}
 	}
-	// A node that dies or stands still gives no answer.
+	// A node that is down or frozen does not answer.
 	w.After(4*time.Second, func() {
 		if !answered {
-			known.maybe = true
-			again()
+			record.possiblyAccepted = true
+			retry()
 		}
 	})
-	n.do(n.life, func(now time.Time) {
+	n.invoke(n.incarnation, func(now time.Time) {
 		n.node.Jobs().Accept(now, job, func(_ time.Time, outcome batch.Outcome) {
 			if answered {
-				known.maybe = known.maybe || outcome != batch.NotApplied && outcome != batch.NoReplica
+				record.possiblyAccepted = record.possiblyAccepted || outcome != batch.NotApplied && outcome != batch.NoReplica
 				return
 			}
 			switch outcome {
 			case batch.Applied:
 				answered = true
-				known.pending--
-				known.maybe = true
-				known.acceptedAt = w.Now
-				w.After(readEvery, func() { t.read(known, w.Now.Add(resultsWithin)) })
+				record.pendingSubmissions--
+				record.possiblyAccepted = true
+				record.acceptedAt = w.Now
+				w.After(readInterval, func() { t.pollResults(record, w.Now.Add(resultDeadline)) })
 			case batch.Indeterminate:
-				known.maybe = true
-				again()
+				record.possiblyAccepted = true
+				retry()
 			default:
-				again()
+				retry()
 			}
 		})
 	})
 }
 
-// read reads results at some node until the job is whole or its time is over.
-func (t *trainer) read(known *jobRecord, until time.Time) {
+// pollResults reads results from random nodes until enough groups are complete or the deadline has
+// passed.
+func (t *trainer) pollResults(record *jobRecord, until time.Time) {
 	w := t.world
-	w.readJob(known, w.random.IntN(max(known.seen, 1)))
-	if known.wholeGroups() >= desiredGroups || w.Now.After(until) {
-		t.end(known)
+	w.readResults(record, w.random.IntN(max(record.resultsRead, 1)))
+	if record.completeGroups() >= desiredGroups || w.Now.After(until) {
+		t.endJob(record)
 		return
 	}
-	w.After(readEvery, func() { t.read(known, until) })
+	w.After(readInterval, func() { t.pollResults(record, until) })
 }
 
-// readJob reads a job's results from a position on at some node, and checks them.
-func (w *World) readJob(known *jobRecord, from int) {
+// readResults reads a job's results from a position on from a random node and checks them.
+func (w *World) readResults(record *jobRecord, from int) {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	n.do(n.life, func(time.Time) {
-		n.node.Jobs().ReadResults(known.content.Id, from, func(_ time.Time, results []*doorstepv1.BatchResult, ok bool) {
+	n.invoke(n.incarnation, func(time.Time) {
+		n.node.Jobs().ReadResults(record.content.Id, from, func(_ time.Time, results []*doorstepv1.BatchResult, ok bool) {
 			if ok {
-				w.check.read(w, known, from, results)
+				w.check.checkResults(w, record, from, results)
 			}
 		})
 	})
 }
 
-// end ends the job, again and again until a node says so, and names the next version.
-func (t *trainer) end(known *jobRecord) {
+// endJob ends the job, retrying until a node confirms it, and sets the next target version.
+func (t *trainer) endJob(record *jobRecord) {
 	w := t.world
-	if known.endedAt != (time.Time{}) {
+	if record.endedAt != (time.Time{}) {
 		return
 	}
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	n.do(n.life, func(now time.Time) {
-		n.node.Jobs().End(now, known.content.Id, func(_ time.Time, outcome batch.Outcome) {
+	n.invoke(n.incarnation, func(now time.Time) {
+		n.node.Jobs().End(now, record.content.Id, func(_ time.Time, outcome batch.Outcome) {
 			if outcome == batch.NotFound && n.healthy(w.Now) {
-				w.check.violate(w, "nothing-lost", "%s: an accepted job is absent at its end", known.content.Id)
+				w.check.reportViolation(w, "nothing-lost", "%s: an accepted job is not found when it is ended", record.content.Id)
 			}
-			if outcome == batch.Applied && known.endedAt == (time.Time{}) {
-				known.endedAt = w.Now
-				w.operator.name(t.model, max(w.operator.targets[t.model], 1)+1)
+			if outcome == batch.Applied && record.endedAt == (time.Time{}) {
+				record.endedAt = w.Now
+				w.operator.setTarget(t.model, max(w.operator.targets[t.model], 1)+1)
 			}
 		})
 	})
-	w.After(time.Second, func() { t.end(known) })
+	w.After(time.Second, func() { t.endJob(record) })
 }
--- a/internal/simulation/clustersim/usage.go
+++ b/internal/simulation/clustersim/usage.go
@@ -12,53 +12,52 @@
 )
 
 const (
-	// requestEvery is the mean time between two requests of tenants, tenantCount how many
-	// tenants there are.
-	requestEvery = 60 * time.Millisecond
-	tenantCount  = 4
-	// wallSpread is by how much nodes' wall clocks differ from the true time at the most,
-	// wallStep how far they jump.
-	wallSpread = 40 * time.Millisecond
-	wallStep   = 2 * time.Second
-	// edgeSlack is how far from a window's edge a request may count for either window.
-	edgeSlack = 100 * time.Millisecond
-	// calmBefore is how long before a window the deployment must have been calm for its report
-	// to be exact.
-	calmBefore = 3 * time.Second
+	// requestInterval is the interval between two tenant requests, tenantCount the number of tenants.
+	requestInterval = 60 * time.Millisecond
+	tenantCount     = 4
+	// maxWallClockOffset is the maximum initial offset of nodes' wall clocks, wallClockStep the size
+	// of the jumps that a fault causes.
+	maxWallClockOffset = 40 * time.Millisecond
+	wallClockStep      = 2 * time.Second
+	// windowEdgeTolerance is the distance from a window's edge within which a request may count for
+	// either window.
+	windowEdgeTolerance = 100 * time.Millisecond
+	// calmPeriod, plus the report delay, is the time without faults required before a window for it to
+	// be checked for exact counts.
+	calmPeriod = 3 * time.Second
 )
 
-// usageWindows are the windows of the simulated platform.
+// usageWindows are the usage windows of the simulated platform.
 var usageWindows = usage.Windows{Length: 5 * time.Second, ReportDelay: 10 * time.Second}
 
-// tenantRequest is a request that began to run.
+// tenantRequest is a request that started at a node.
 type tenantRequest struct {
-	at     time.Time
-	tenant string
+	startedAt time.Time
+	tenant    string
 }
 
-// dutyCall is a call to the platform that one node at a time makes.
+// dutyCall is a call to the platform made by the lease holder.
 type dutyCall struct {
 	holder string
 	at     time.Time
 }
 
-// dutyPlatform is the platform's service for calls that one node at a time makes, with what it
-// saw.
+// dutyPlatform is the platform's service for calls made by one node at a time.
 type dutyPlatform struct {
 	world *World
-	// begun are all requests that nodes counted.
-	begun []tenantRequest
-	// accepted are the reports taken, at the times at which that was.
+	// requests are all requests counted by nodes.
+	requests []tenantRequest
+	// accepted holds the accepted reports by window, acceptedAt the times of acceptance.
 	accepted   map[int64]map[string]int64
 	acceptedAt map[int64]time.Time
 	fence      int64
 	calls      []dutyCall
-	// losing counts the faults by which answers are lost and calls carried out late.
+	// losing counts the active faults that lose answers and delay calls.
 	losing int
-	// troubles are the spans in which a fault was on.
-	troubles []span
-	// exact counts the windows that had to be exact.
-	exact int
+	// faultSpans are the time ranges in which a fault was active.
+	faultSpans []span
+	// exactWindows counts the windows that were checked for exact counts.
+	exactWindows int
 }
 
 func newDutyPlatform(w *World) *dutyPlatform {
@@ -69,63 +68,63 @@
 
 func tenantName(number int) string { return fmt.Sprintf("tenant-%d", number) }
 
-// begin lets tenants' requests run at the nodes.
-func (p *dutyPlatform) begin() {
+// start starts the tenants' requests.
+func (p *dutyPlatform) start() {
 	w := p.world
-	w.Every(requestEvery, func() bool {
-		n := w.anyNode()
+	w.Every(requestInterval, func() bool {
+		n := w.randomNode()
 		if !n.up || w.Now.Before(n.frozenUntil) {
 			return true
 		}
-		one := tenantRequest{w.Now, tenantName(w.random.IntN(tenantCount))}
-		p.begun = append(p.begun, one)
-		n.do(n.life, func(now time.Time) { n.node.CountRequest(now, now, one.tenant) })
+		request := tenantRequest{w.Now, tenantName(w.random.IntN(tenantCount))}
+		p.requests = append(p.requests, request)
+		n.invoke(n.incarnation, func(now time.Time) { n.node.CountRequest(now, now, request.tenant) })
 		return true
 	})
 }
 
-// report takes a call of a node; the answer may be lost, and the call be carried out late.
+// report handles a node's report. While answers are being lost, the report may be accepted late.
 func (p *dutyPlatform) report(n *node, t task.ReportUsage, answer func(status port.DutyStatus)) {
 	w := p.world
-	longer, lost := w.link.way(n.zone, storeZone)
-	if n.cut > 0 || lost {
+	extraDelay, lost := w.link.delay(n.zone, storeZone)
+	if n.storeCuts > 0 || lost {
 		w.After(t.Limit, func() { answer(port.DutyUnknown) })
 		return
 	}
 	if p.losing > 0 && w.random.IntN(2) == 0 {
-		w.After(time.Duration(w.random.Int64N(int64(5*time.Second))), func() { p.take(n, t.Report) })
+		w.After(time.Duration(w.random.Int64N(int64(5*time.Second))), func() { p.accept(n, t.Report) })
 		w.After(t.Limit, func() { answer(port.DutyUnknown) })
 		return
 	}
-	w.After(callLatency+longer, func() {
-		status := p.take(n, t.Report)
-		w.After(callLatency+longer, func() { answer(status) })
+	w.After(callLatency+extraDelay, func() {
+		status := p.accept(n, t.Report)
+		w.After(callLatency+extraDelay, func() { answer(status) })
 	})
 }
 
-// take takes a report, unless a newer holder has called.
-func (p *dutyPlatform) take(n *node, report port.UsageReport) port.DutyStatus {
+// accept accepts a report unless it is fenced off by a newer holder.
+func (p *dutyPlatform) accept(n *node, report port.UsageReport) port.DutyStatus {
 	w := p.world
 	if report.Fence < p.fence {
 		return port.DutyFenced
 	}
 	if report.Fence == p.fence && len(p.calls) > 0 && p.calls[len(p.calls)-1].holder != n.name {
-		w.check.violate(w, "one-reporter", "fence %d is used by %s and %s", report.Fence, p.calls[len(p.calls)-1].holder, n.name)
+		w.check.reportViolation(w, "one-reporter", "fence %d is used by %s and %s", report.Fence, p.calls[len(p.calls)-1].holder, n.name)
 	}
 	p.fence = report.Fence
-	p.turns(n)
-	if held, taken := p.accepted[report.Window]; taken && !maps.Equal(held, report.Requests) {
-		w.check.violate(w, "one-report", "window %d was reported as %v and as %v", report.Window, held, report.Requests)
+	p.checkTurns(n)
+	if previous, found := p.accepted[report.Window]; found && !maps.Equal(previous, report.Requests) {
+		w.check.reportViolation(w, "one-report", "window %d was reported as %v and as %v", report.Window, previous, report.Requests)
 		return port.DutyDone
 	}
-	if _, taken := p.accepted[report.Window]; !taken {
+	if _, found := p.accepted[report.Window]; !found {
 		p.accepted[report.Window], p.acceptedAt[report.Window] = maps.Clone(report.Requests), w.Now
 	}
 	return port.DutyDone
 }
 
-// turns checks that two holders don't take turns within the pause.
-func (p *dutyPlatform) turns(n *node) {
+// checkTurns checks that two holders do not alternate within orderPause.
+func (p *dutyPlatform) checkTurns(n *node) {
 	w := p.world
 	p.calls = append(p.calls, dutyCall{holder: n.name, at: w.Now})
 	between := false
@@ -133,25 +132,25 @@
 		if p.calls[i].holder != n.name {
 			between = true
 		} else if between && n.healthy(w.Now) {
-			w.check.violate(w, "one-reporter", "%s reported again %s after it, and another between", n.name, w.Now.Sub(p.calls[i].at))
+			w.check.reportViolation(w, "one-reporter", "%s reported again after %s, with a report of another node in between", n.name, w.Now.Sub(p.calls[i].at))
 			return
 		}
 	}
 }
 
-// watchTrouble notes the spans in which the deployment is troubled by any fault.
-func (p *dutyPlatform) watchTrouble() {
+// recordFaultSpans records the time ranges in which a fault affects the deployment.
+func (p *dutyPlatform) recordFaultSpans() {
 	w := p.world
-	w.Every(tickEvery, func() bool {
+	w.Every(tickInterval, func() bool {
 		if p.calm() {
 			return true
 		}
-		last := len(p.troubles) - 1
-		if last < 0 || w.Now.Sub(p.troubles[last].to) > 2*tickEvery {
-			p.troubles = append(p.troubles, span{w.Now, w.Now})
+		last := len(p.faultSpans) - 1
+		if last < 0 || w.Now.Sub(p.faultSpans[last].to) > 2*tickInterval {
+			p.faultSpans = append(p.faultSpans, span{w.Now, w.Now})
 			return true
 		}
-		p.troubles[last].to = w.Now
+		p.faultSpans[last].to = w.Now
 		return true
 	})
 }
@@ -159,13 +158,13 @@
 func (p *dutyPlatform) calm() bool {
 	w := p.world
 	calm := w.store.stable(w.Now) && p.losing == 0
-	for _, one := range w.nodes {
-		calm = calm && one.up && !one.stopping && one.cut == 0 && !w.Now.Before(one.frozenUntil) && !w.link.troubled(one.zone)
+	for _, n := range w.nodes {
+		calm = calm && n.up && !n.stopping && n.storeCuts == 0 && !w.Now.Before(n.frozenUntil) && !w.link.degraded(n.zone)
 	}
 	return calm
 }
 
-// checkWindows checks that windows in calm times were reported in time, with every request.
+// checkWindows checks that every window without faults was reported in time with exact counts.
 func (p *dutyPlatform) checkWindows(until time.Time) {
 	for number := epoch.Unix() / int64(usageWindows.Length.Seconds()); ; number++ {
 		from := time.Unix(0, number*int64(usageWindows.Length))
@@ -173,44 +172,44 @@
 		if to.Add(usageWindows.ReportDelay).After(until) {
 			return
 		}
-		if from.Sub(epoch) < warmUp || p.troubledBetween(from.Add(-calmBefore-usageWindows.ReportDelay), to.Add(usageWindows.ReportDelay)) {
+		if from.Sub(epoch) < warmUp || p.faultBetween(from.Add(-calmPeriod-usageWindows.ReportDelay), to.Add(usageWindows.ReportDelay)) {
 			continue
 		}
-		p.exact++
+		p.exactWindows++
 		p.checkWindow(number, from, to)
 	}
 }
 
 func (p *dutyPlatform) checkWindow(number int64, from, to time.Time) {
 	w := p.world
-	report, taken := p.accepted[number]
-	if !taken || p.acceptedAt[number].After(to.Add(usageWindows.ReportDelay)) {
-		w.check.violate(w, "usage-exact", "window %d was not reported in time (reported %t)", number, taken)
+	report, accepted := p.accepted[number]
+	if !accepted || p.acceptedAt[number].After(to.Add(usageWindows.ReportDelay)) {
+		w.check.reportViolation(w, "usage-exact", "window %d was not reported in time (reported %t)", number, accepted)
 		return
 	}
 	for tenant := range tenantCount {
 		name := tenantName(tenant)
-		least, most := int64(0), int64(0)
-		for _, one := range p.begun {
-			if one.tenant != name {
+		minimum, maximum := int64(0), int64(0)
+		for _, request := range p.requests {
+			if request.tenant != name {
 				continue
 			}
-			if one.at.After(from.Add(edgeSlack)) && one.at.Before(to.Add(-edgeSlack)) {
-				least++
+			if request.startedAt.After(from.Add(windowEdgeTolerance)) && request.startedAt.Before(to.Add(-windowEdgeTolerance)) {
+				minimum++
 			}
-			if one.at.After(from.Add(-edgeSlack)) && one.at.Before(to.Add(edgeSlack)) {
-				most++
+			if request.startedAt.After(from.Add(-windowEdgeTolerance)) && request.startedAt.Before(to.Add(windowEdgeTolerance)) {
+				maximum++
 			}
 		}
-		if got := report[name]; got < least || got > most {
-			w.check.violate(w, "usage-exact", "window %d has %d requests of %s, should be %d to %d", number, got, name, least, most)
+		if got := report[name]; got < minimum || got > maximum {
+			w.check.reportViolation(w, "usage-exact", "window %d has %d requests of %s, want %d to %d", number, got, name, minimum, maximum)
 		}
 	}
 }
 
-// troubledBetween reports whether a fault was on in a span.
-func (p *dutyPlatform) troubledBetween(from, to time.Time) bool {
-	for _, span := range p.troubles {
+// faultBetween reports whether a fault was active between two times.
+func (p *dutyPlatform) faultBetween(from, to time.Time) bool {
+	for _, span := range p.faultSpans {
 		if span.from.Before(to) && span.to.After(from) {
 			return true
 		}
@@ -218,5 +217,5 @@
 	return false
 }
 
-// span is a stretch of time.
+// span is a time range.
 type span struct{ from, to time.Time }
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -1,7 +1,7 @@
-// Package clustersim runs whole installations of cluster nodes in one goroutine on a
-// virtual clock: the very cluster.Node that the daemon runs, models of the record store
-// and of replicas, trainers, an operator, and faults. What callers, replicas and the
-// store see is checked as it happens. Two runs of one seed do exactly the same.
+// Package clustersim simulates a deployment of doorstep nodes in one goroutine on a virtual clock. It
+// runs the cluster.Node of the daemon against models of the record store and of replicas, with
+// trainers, an operator and injected faults, and checks invariants on what clients, replicas and the
+// store observe. A run is deterministic for a seed.
 package clustersim
 
 import (
@@ -22,81 +22,81 @@
 )
 
 const (
-	// tickEvery is the pace of the nodes' clocks, as the daemon's.
-	tickEvery = 25 * time.Millisecond
-	// warmUp passes before trainers begin, settleTime after the last fault.
+	// tickInterval is the interval of Node.Tick, as in the daemon.
+	tickInterval = 25 * time.Millisecond
+	// warmUp is the time before trainers start, settleTime the time that the run continues after
+	// faults stop.
 	warmUp     = 2 * time.Second
 	settleTime = 20 * time.Second
-	// orderPause is the least time between the orders of two holders.
+	// orderPause is the minimum time between the orders of two successive lease holders.
 	orderPause = 3 * time.Second
-	// startupTime passes between the end of a process and its next life.
-	startupTime = 300 * time.Millisecond
+	// restartDelay is the time between a planned stop of a node and its restart.
+	restartDelay = 300 * time.Millisecond
 )
 
-// Options configure a World.
+// Options configures a World.
 type Options struct {
 	Seed            uint64
 	Nodes, Replicas int
-	// Length is how long faults come.
+	// Length is the virtual time during which faults are injected.
 	Length time.Duration
 	Faults []Fault
-	// Unfenced replicas take orders of any fence: what holds two holders apart is time and
-	// the count of orders alone.
+	// Unfenced makes replicas accept orders with any fence, so that only timing and expected order
+	// sequences keep two lease holders apart.
 	Unfenced bool
-	// FarRegion is how much longer than within a region a message between the two regions is under
-	// way; the record store stands in one of them.
+	// FarRegion is the extra one-way latency between the two regions. The record store is in region-0.
 	FarRegion time.Duration
-	// Resting lets nodes follow the list of replicas only while they have use for it, as in a large
-	// deployment; every second node is slow then.
+	// Resting lets nodes follow the list of replicas only on demand, as in a large deployment, and
+	// gives every second node a small processor share.
 	Resting bool
-	// Log, unless nil, takes what nodes log, by the record store's clock.
+	// Log, if not nil, receives the log entries of nodes with the record store's clock, which starts at
+	// zero.
 	Log func(node string, clock time.Duration, number int, fields []any)
-	// Trace, unless nil, takes what the world does: faults, orders and lives of replicas, violations.
+	// Trace, if not nil, receives faults, replica starts and stops, late orders and violations.
 	Trace func(clock time.Duration, what string)
 }
 
-// largeList returns from how many replicas on nodes take the list for a large one, 0 for the product's own
-// figure.
-func (o *Options) largeList() int {
+// largeListThreshold returns the value of cluster.Options.LargeList, 0 for its default.
+func (o *Options) largeListThreshold() int {
 	if o.Resting {
 		return 1
 	}
 	return 0
 }
 
-// World is one installation.
+// World is one simulated deployment.
 type World struct {
 	virtual.Clock
-	options  Options
-	random   *rand.Rand
-	store    *store
-	nodes    []*node
-	replicas []*replica
-	scorers  []*scorer
-	trainers []*trainer
-	operator *operator
-	duties   *dutyPlatform
-	check    *checker
-	link     *link
-	owners   *owners
-	faulty   bool
-	faults   map[string]int
+	options      Options
+	random       *rand.Rand
+	store        *store
+	nodes        []*node
+	replicas     []*replica
+	scorers      []*scorer
+	trainers     []*trainer
+	operator     *operator
+	platform     *dutyPlatform
+	check        *checker
+	link         *link
+	owners       *ownershipTracker
+	faultsActive bool
+	faultCounts  map[string]int
 }
 
-// epoch is the time at which worlds begin.
+// epoch is the virtual time at which a World starts.
 var epoch = time.Unix(1_000_000, 0)
 
-// New returns a world that stands still.
+// New returns a World that has not started.
 func New(options Options) *World {
 	w := &World{
 		options: options, Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(options.Seed, 1)),
-		check: newChecker(), faults: map[string]int{},
+		check: newChecker(), faultCounts: map[string]int{},
 	}
 	w.link = &link{world: w}
-	w.owners = &owners{world: w, now: map[string]ownership{}, takes: map[string]int{}}
+	w.owners = &ownershipTracker{world: w, current: map[string]ownership{}, takeoversByJob: map[string]int{}}
 	w.store = newStore(w)
 	w.operator = newOperator(w)
-	w.duties = newDutyPlatform(w)
+	w.platform = newDutyPlatform(w)
 	for i := range options.Replicas {
 		w.addReplica(fmt.Sprintf("address-%d", i))
 	}
@@ -112,32 +112,32 @@
 	return w
 }
 
-// Run plays the world to its end and returns what was violated.
+// Run runs the simulation to its end and returns the violations and totals.
 func (w *World) Run() Report {
-	w.operator.begin()
-	for _, one := range w.nodes {
-		one.start()
+	w.operator.start()
+	for _, n := range w.nodes {
+		n.start()
 	}
-	w.duties.watchTrouble()
-	w.After(warmUp, w.duties.begin)
-	for _, one := range w.trainers {
-		w.After(warmUp, one.step)
+	w.platform.recordFaultSpans()
+	w.After(warmUp, w.platform.start)
+	for _, t := range w.trainers {
+		w.After(warmUp, t.step)
 	}
-	w.faulty = true
+	w.faultsActive = true
 	w.scheduleFaults()
 	end := w.Now.Add(w.options.Length)
 	w.runUntil(end)
-	w.faulty = false
+	w.faultsActive = false
 	w.runUntil(end.Add(settleTime))
 	w.finalChecks()
-	w.duties.checkWindows(w.Now)
+	w.platform.checkWindows(w.Now)
 	return w.report()
 }
 
-// trace tells of something that the world does.
-func (w *World) trace(format string, values ...any) {
+// trace passes a formatted line to Options.Trace.
+func (w *World) trace(format string, arguments ...any) {
 	if w.options.Trace != nil {
-		w.options.Trace(w.Now.Sub(epoch), fmt.Sprintf(format, values...))
+		w.options.Trace(w.Now.Sub(epoch), fmt.Sprintf(format, arguments...))
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 }
 
-// Report is what a run showed.
+// Report holds the violations and totals of a run.
 type Report struct {
 	Violations []Violation
 	Faults     map[string]int
@@ -159,16 +159,17 @@
 	Orders     int
 	Scores     int
 	Reads      int
-	// Windows counts the reports of use that were taken, ExactWindows those that had to be exact.
+	// Windows counts the usage reports that were accepted, ExactWindows the windows that were checked
+	// for exact counts.
 	Windows, ExactWindows int
-	// Taken counts the jobs taken over from owners that did not hand them over, LeasesLost the
-	// leases that were lost.
+	// Taken counts the jobs taken over from owners that did not hand them over, LeasesLost the leases
+	// lost.
 	Taken, LeasesLost int
 }
 
 func (w *World) report() Report {
-	report := Report{Violations: w.check.violations, Faults: w.faults, Results: w.check.resultCount, Orders: w.check.orderCount, Scores: w.check.scoreCount, Reads: w.check.readCount,
-		Windows: len(w.duties.accepted), ExactWindows: w.duties.exact, Taken: w.owners.taken, LeasesLost: w.owners.lost}
+	report := Report{Violations: w.check.violations, Faults: w.faultCounts, Results: w.check.resultCount, Orders: w.check.orderCount, Scores: w.check.scoreCount, Reads: w.check.readCount,
+		Windows: len(w.platform.accepted), ExactWindows: w.platform.exactWindows, Taken: w.owners.takeovers, LeasesLost: w.owners.leasesLost}
 	for _, job := range w.check.jobs {
 		report.Jobs++
 		if job.acceptedAt != (time.Time{}) {
@@ -178,43 +179,43 @@
 	return report
 }
 
-// zoneCount is how many zones there are.
 const zoneCount = 3
 
-// regions are those of the zones.
+// regions maps zones to regions.
 var regions = map[string]string{"zone-0": "region-0", "zone-1": "region-0", "zone-2": "region-1"}
 
-// topologyAt returns the topology as a node in a zone knows it.
+// topologyAt returns the topology for a node in the zone.
 func topologyAt(zone string) port.Topology {
 	return port.Topology{Zone: zone, Region: regions[zone], Regions: regions}
 }
 
-// node is one process, in one life after the other.
+// node is one node across its restarts.
 type node struct {
-	world *World
-	name  string
-	zone  string
-	node  *cluster.Node
-	life  uint64
-	up    bool
-	// frozenUntil is set while it stands still; cut while it can't reach the store.
+	world       *World
+	name        string
+	zone        string
+	node        *cluster.Node
+	incarnation uint64
+	up          bool
+	// frozenUntil is the end of the current freeze. storeCuts counts the active faults that disconnect
+	// the node from the store.
 	frozenUntil time.Time
-	cut         int
-	// troubledAt is when it last was frozen, cut, killed or started.
-	troubledAt time.Time
-	// wallAhead is by how much its time of day is ahead of the true one.
-	wallAhead time.Duration
-	// processorShare is what it may use of a core, 0 where it is not told.
+	storeCuts   int
+	// lastFaultAt is the last time at which the node was frozen, disconnected, killed or started.
+	lastFaultAt time.Time
+	// wallClockOffset is how far the node's wall clock is ahead of the virtual time.
+	wallClockOffset time.Duration
+	// processorShare is the fraction of a core available to the node, 0 if unknown.
 	processorShare float64
 	version        int64
-	runs           map[uint64]*run
+	runs           map[uint64]*itemRun
 	calls          map[uint64]*scoringCall
 	stopping       bool
 }
 
 func newNode(w *World, index int) *node {
-	ahead := time.Duration(w.random.Int64N(int64(2*wallSpread))) - wallSpread
-	n := &node{world: w, name: fmt.Sprintf("node-%d", index), zone: fmt.Sprintf("zone-%d", index%zoneCount), wallAhead: ahead}
+	offset := time.Duration(w.random.Int64N(int64(2*maxWallClockOffset))) - maxWallClockOffset
+	n := &node{world: w, name: fmt.Sprintf("node-%d", index), zone: fmt.Sprintf("zone-%d", index%zoneCount), wallClockOffset: offset}
 	if w.options.Resting {
 		n.processorShare = []float64{0.8, 0.2}[index%2]
 	}
@@ -222,40 +223,40 @@
 }
 
 func (n *node) start() {
-	n.life++
+	n.incarnation++
 	n.up = true
 	n.stopping = false
 	n.version = 0
 	n.frozenUntil = time.Time{}
-	n.runs = map[uint64]*run{}
+	n.runs = map[uint64]*itemRun{}
 	n.calls = map[uint64]*scoringCall{}
-	n.trouble(n.world.Now)
-	life := n.life
+	n.recordFault(n.world.Now)
+	incarnation := n.incarnation
 	n.node = cluster.New(n.world.Now, cluster.Options{
-		Name: n.name, Topology: topologyAt(n.zone), Incarnation: n.life*1000 + uint64(len(n.name)) + n.world.options.Seed<<20, Decoder: decoder{}, OrderPause: orderPause,
-		WallClockOffset: func() time.Duration { return n.wallAhead }, Duties: simulatedDuties(), Cold: coldSettings,
-		LargeList: n.world.options.largeList(), ProcessorShare: n.processorShare,
+		Name: n.name, Topology: topologyAt(n.zone), Incarnation: n.incarnation*1000 + uint64(len(n.name)) + n.world.options.Seed<<20, Decoder: decoder{}, OrderPause: orderPause,
+		WallClockOffset: func() time.Duration { return n.wallClockOffset }, Duties: simulatedDuties(), Cold: coldSettings,
+		LargeList: n.world.options.largeListThreshold(), ProcessorShare: n.processorShare,
 	})
-	n.world.Every(tickEvery, func() bool {
-		if n.life != life || !n.up {
+	n.world.Every(tickInterval, func() bool {
+		if n.incarnation != incarnation || !n.up {
 			return false
 		}
-		n.do(life, func(now time.Time) { n.node.Tick(now) })
+		n.invoke(incarnation, func(now time.Time) { n.node.Tick(now) })
 		if n.stopping && n.node.CanExit(n.world.Now) {
-			n.kill(startupTime)
+			n.kill(restartDelay)
 		}
 		return true
 	})
 }
 
-// kill ends the process without a word; it comes back remembering nothing.
+// kill ends the process without a shutdown. The node restarts after the given time with no state.
 func (n *node) kill(down time.Duration) {
 	if !n.up {
 		return
 	}
 	n.up = false
-	n.trouble(n.world.Now)
-	// What ends together ends in one order in all runs of a seed.
+	n.recordFault(n.world.Now)
+	// Sorted, so that runs of a seed stay deterministic.
 	for _, id := range slices.Sorted(maps.Keys(n.runs)) {
 		n.runs[id].abandon()
 	}
@@ -265,69 +266,73 @@
 	n.world.After(down, n.start)
 }
 
-// stop asks the process to end in the planned way.
+// stop starts a planned shutdown.
 func (n *node) stop() {
 	if !n.up || n.stopping {
 		return
 	}
 	n.stopping = true
-	n.do(n.life, func(now time.Time) { n.node.Stop(now) })
+	n.invoke(n.incarnation, func(now time.Time) { n.node.Stop(now) })
 }
 
-// trouble notes a time at which the node was not in touch.
-func (n *node) trouble(at time.Time) {
-	if at.After(n.troubledAt) {
-		n.troubledAt = at
+// recordFault moves lastFaultAt forward.
+func (n *node) recordFault(at time.Time) {
+	if at.After(n.lastFaultAt) {
+		n.lastFaultAt = at
 	}
 }
 
-// healthy reports whether the node was in touch with everything for a while.
+// healthy reports whether the node has been stable and its link to the store has no active fault.
 func (n *node) healthy(now time.Time) bool {
-	return !n.world.link.troubled(n.zone) && n.untroubled(now)
+	return !n.world.link.degraded(n.zone) && n.stable(now)
 }
 
-// untroubled is healthy, whatever the link between the regions is like.
-func (n *node) untroubled(now time.Time) bool {
-	const inTouch = 3 * time.Second
-	return n.up && n.cut == 0 && !now.Before(n.frozenUntil) && now.Sub(n.troubledAt) > inTouch && n.world.store.stable(now)
+// stable reports whether the node has run without a fault of its own or of the store for a while,
+// whatever the state of the link between the regions.
+func (n *node) stable(now time.Time) bool {
+	const recoveryPeriod = 3 * time.Second
+	return n.up && n.storeCuts == 0 && !now.Before(n.frozenUntil) && now.Sub(n.lastFaultAt) > recoveryPeriod && n.world.store.stable(now)
 }
 
-// do calls the node within its loop, once it is not frozen, and carries its tasks out.
-func (n *node) do(life uint64, call func(now time.Time)) {
+// invoke calls the node from its loop, after the current freeze if there is one, and executes the
+// tasks it returns. Calls for an earlier incarnation are dropped.
+func (n *node) invoke(incarnation uint64, callback func(now time.Time)) {
 	w := n.world
-	if !n.up || n.life != life {
+	if !n.up || n.incarnation != incarnation {
 		return
 	}
 	if w.Now.Before(n.frozenUntil) {
-		w.After(n.frozenUntil.Sub(w.Now), func() { n.do(life, call) })
+		w.After(n.frozenUntil.Sub(w.Now), func() { n.invoke(incarnation, callback) })
 		return
 	}
-	call(w.Now)
-	for _, one := range n.node.Take() {
-		n.carryOut(life, one)
+	callback(w.Now)
+	for _, nextTask := range n.node.Take() {
+		n.execute(incarnation, nextTask)
 	}
-	w.check.configuration(w, n)
-	w.check.evacuationsKnown(w, n)
+	w.check.checkConfiguration(w, n)
+	w.check.checkEvacuatedZones(w, n)
 }
 
-func (n *node) carryOut(life uint64, one task.Task) {
+func (n *node) execute(incarnation uint64, nextTask task.Task) {
 	w := n.world
-	back := func(call func(now time.Time)) { n.do(life, call) }
+	invokeLater := func(call func(now time.Time)) { n.invoke(incarnation, call) }
 	sentAt := w.Now
-	_, held := one.(task.Watch)
-	answered := func(done func(now time.Time, result port.RecordResult)) func(result port.RecordResult) {
-		return func(result port.RecordResult) { back(func(now time.Time) { n.noted(now, sentAt, held, result, done) }) }
+	_, longPoll := nextTask.(task.Watch)
+	recordCallback := func(done func(now time.Time, result port.RecordResult)) func(result port.RecordResult) {
+		return func(result port.RecordResult) {
+			invokeLater(func(now time.Time) { n.deliverRecordResult(now, sentAt, longPoll, result, done) })
+		}
 	}
-	switch t := one.(type) {
+	switch t := nextTask.(type) {
 	case task.Commit:
-		w.store.write(n, func(now time.Time) port.RecordResult { return w.store.records.Commit(now, t.Transaction) }, answered(t.Done))
+		w.store.write(n, func(now time.Time) port.RecordResult { return w.store.records.Commit(now, t.Transaction) }, recordCallback(t.Done))
 	case task.Range:
-		w.check.reads(w, n, t.Query)
-		w.store.read(n, func(now time.Time) port.RecordResult { return w.store.records.Range(now, t.Query) }, answered(t.Done))
+		w.check.checkContentRead(w, n, t.Query)
+		w.store.read(n, func(now time.Time) port.RecordResult { return w.store.records.Range(now, t.Query) }, recordCallback(t.Done))
 	case task.Watch:
-		w.store.watch(n, t, answered(t.Done))
+		w.store.watch(n, t, recordCallback(t.Done))
 	case task.Run:
-		w.startRun(n, life, t)
+		w.startRun(n, incarnation, t)
 	case task.StopRun:
 		if running := n.runs[t.ID]; running != nil {
 			running.stop()
@@ -336,17 +341,17 @@
 			calling.stop()
 		}
 	case task.ScoringCall:
-		w.startScoring(n, life, t)
+		w.startScoring(n, incarnation, t)
 	case task.Order:
-		w.order(n, t, func(status port.VersionOrderStatus) { back(func(now time.Time) { t.Done(now, status) }) })
+		w.sendOrder(n, t, func(status port.VersionOrderStatus) { invokeLater(func(now time.Time) { t.Done(now, status) }) })
 	case task.Report:
-		w.ask(n, t, func(report port.ReplicaReport) { back(func(now time.Time) { t.Done(now, report) }) })
+		w.fetchReport(n, t, func(report port.ReplicaReport) { invokeLater(func(now time.Time) { t.Done(now, report) }) })
 	case task.ReportUsage:
-		w.duties.report(n, t, func(status port.DutyStatus) { back(func(now time.Time) { t.Done(now, status) }) })
+		w.platform.report(n, t, func(status port.DutyStatus) { invokeLater(func(now time.Time) { t.Done(now, status) }) })
 	case task.Later:
-		w.After(t.After, func() { back(t.Do) })
+		w.After(t.After, func() { invokeLater(t.Do) })
 	case task.Log:
-		w.owners.logged(n, t.Event, t.Fields)
+		w.owners.observe(n, t.Event, t.Fields)
 		if w.options.Log != nil {
 			w.options.Log(n.name, w.Now.Sub(epoch), t.Event, t.Fields)
 		}
@@ -354,8 +359,8 @@
 	}
 }
 
-func (n *node) noted(now, sentAt time.Time, held bool, result port.RecordResult, done func(now time.Time, result port.RecordResult)) {
-	if !held {
+func (n *node) deliverRecordResult(now, sentAt time.Time, longPoll bool, result port.RecordResult, done func(now time.Time, result port.RecordResult)) {
+	if !longPoll {
 		n.node.ObserveStoreLatency(now.Sub(sentAt))
 	}
 	if result.Clock > 0 {
@@ -364,62 +369,61 @@
 	done(now, result)
 }
 
-// Tables of the simulated deployment.
 const (
 	operatorTable = "operator"
 	replicaTable  = "replicas"
 	routesKey     = "routes"
 	targetPrefix  = "target/"
-	// evacuationPrefix begins the keys of zones whose replicas are to get nothing.
+	// evacuationPrefix is the key prefix of evacuated zones.
 	evacuationPrefix = "evacuate/"
 )
 
-// decoder reads the records of the simulated deployment.
+// decoder decodes the deployment records of the simulation.
 type decoder struct{}
 
-// DeploymentTables names the tables.
+// DeploymentTables returns the tables with deployment records.
 func (decoder) DeploymentTables() []string { return []string{operatorTable, replicaTable} }
 
-// LengthHint knows no hints.
+// LengthHint returns 0: the simulation has no length hints.
 func (decoder) LengthHint(http.Header) int { return 0 }
 
-// Tokens are the most that any text of the simulation has, an event for each.
+// Tokens returns the maximum number of events of an item as its maximum number of tokens.
 func (decoder) Tokens(http.Header) (prompt, most int) { return 0, model.MostItemEvents }
 
-// DecodeDeployment reads JSON.
+// DecodeDeployment decodes JSON records.
 func (decoder) DecodeDeployment(records []port.Record) port.DeploymentUpdate {
-	var change port.DeploymentUpdate
+	var update port.DeploymentUpdate
 	for _, record := range records {
 		switch {
 		case record.Table == replicaTable && record.Deleted:
-			change.Removed = append(change.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
+			update.Removed = append(update.Removed, port.RemovedReplica{ID: record.Key, Revision: record.Revision})
 		case record.Table == replicaTable:
-			var one port.ReplicaRecord
-			if err := json.Unmarshal(record.Value, &one); err != nil {
-				return change
+			var decoded port.ReplicaRecord
+			if err := json.Unmarshal(record.Value, &decoded); err != nil {
+				return update
 			}
-			one.Revision = record.Revision
-			change.Replicas = append(change.Replicas, one)
+			decoded.Revision = record.Revision
+			update.Replicas = append(update.Replicas, decoded)
 		case strings.HasPrefix(record.Key, evacuationPrefix):
-			change.Evacuations = append(change.Evacuations, port.Evacuation{Zone: strings.TrimPrefix(record.Key, evacuationPrefix), Lifted: record.Deleted})
+			update.Evacuations = append(update.Evacuations, port.Evacuation{Zone: strings.TrimPrefix(record.Key, evacuationPrefix), Lifted: record.Deleted})
 		case record.Deleted:
 		case record.Key == routesKey:
-			change.Routes = &port.RouteTable{}
-			if err := json.Unmarshal(record.Value, change.Routes); err != nil {
-				return change
+			update.Routes = &port.RouteTable{}
+			if err := json.Unmarshal(record.Value, update.Routes); err != nil {
+				return update
 			}
 		default:
 			var target port.VersionTarget
 			if err := json.Unmarshal(record.Value, &target); err != nil {
-				return change
+				return update
 			}
-			change.Targets = append(change.Targets, target)
+			update.Targets = append(update.Targets, target)
 		}
 	}
-	return change
+	return update
 }
 
-// expectedText is the whole text of an item under the versions given for its events.
+// expectedEvent returns the data of an event of an item, made by a model version.
 func expectedEvent(item string, id, version int64) string {
 	return fmt.Sprintf("%s@%d", model.ItemEvent(item, id), version)
 }
