--- a/internal/command/simulator/simulator.go
+++ b/internal/command/simulator/simulator.go
@@ -76,7 +76,7 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			table := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 			for _, fault := range clustersim.Faults {
-				fmt.Fprintf(table, "%s\t%s\n", fault.Name, fault.Does)
+				fmt.Fprintf(table, "%s\t%s\n", fault.Name, fault.Description)
 			}
 			return table.Flush()
 		},
--- a/internal/simulation/clustersim/fault.go
+++ b/internal/simulation/clustersim/fault.go
@@ -8,8 +8,8 @@
 
 // Fault is a kind of fault. inject starts a fault, which ends by itself after the given duration.
 type Fault struct {
-	// Name identifies the fault on the command line, Does describes it.
-	Name, Does string
+	// Name identifies the fault on the command line, Description describes it.
+	Name, Description string
 	// meanInterval is the mean time between two faults of the kind, maxDuration the upper bound of a
 	// duration.
 	meanInterval, maxDuration time.Duration
