--- a/internal/command/operator/explain_simulated_test.go
+++ b/internal/command/operator/explain_simulated_test.go
@@ -33,7 +33,7 @@
 
 func playSeed(t *testing.T, seed uint64, faults, field string, number int) (logs *bytes.Buffer, ids []string) {
 	t.Helper()
-	found, err := clustersim.FindFaults(faults)
+	found, err := clustersim.ParseFaults(faults)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/command/simulator/simulator.go
+++ b/internal/command/simulator/simulator.go
@@ -59,7 +59,7 @@
 
 // worldOptions reads the flags of worldFlags.
 func worldOptions(c *cli.Command) (clustersim.Options, error) {
-	faults, err := clustersim.FindFaults(c.String("faults"))
+	faults, err := clustersim.ParseFaults(c.String("faults"))
 	if err != nil {
 		return clustersim.Options{}, command.Fail(command.ExitUsage, err)
 	}
--- a/internal/simulation/clustersim/clustersim_test.go
+++ b/internal/simulation/clustersim/clustersim_test.go
@@ -82,7 +82,7 @@
 // TestBystandersOfPoisonItems tests that items that share replicas with a request that crashes them are
 // not quarantined in numbers. Owners do not know of one another's runs, so that a few may be.
 func TestBystandersOfPoisonItems(t *testing.T) {
-	faults, err := FindFaults("item-poison")
+	faults, err := ParseFaults("item-poison")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/clustersim/cold_test.go
+++ b/internal/simulation/clustersim/cold_test.go
@@ -10,7 +10,7 @@
 // TestColdReplicasBesideOtherFaults tests the limit of cold replicas on seeds in which several nodes
 // start to send to a cold replica at about the same time without knowing of one another.
 func TestColdReplicasBesideOtherFaults(t *testing.T) {
-	faults, err := FindFaults(coldConflictFaults)
+	faults, err := ParseFaults(coldConflictFaults)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 
 // TestColdReplicasAreServed tests that all jobs run on replicas that repeatedly become cold.
 func TestColdReplicasAreServed(t *testing.T) {
-	faults, err := FindFaults("replica-cold,zone-cold-return,all-cold")
+	faults, err := ParseFaults("replica-cold,zone-cold-return,all-cold")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/clustersim/fault.go
+++ b/internal/simulation/clustersim/fault.go
@@ -57,8 +57,8 @@
 	{"replica-restart", "a replica restarts under its ID, once within 6 s or twice within a heartbeat", 8 * time.Second, 6 * time.Second, restartReplica},
 }
 
-// FindFaults parses a comma-separated list of names, "all" or "none".
-func FindFaults(names string) ([]Fault, error) {
+// ParseFaults parses a comma-separated list of names, "all" or "none".
+func ParseFaults(names string) ([]Fault, error) {
 	switch names {
 	case "", "none":
 		return nil, nil
--- a/internal/simulation/clustersim/restart_test.go
+++ b/internal/simulation/clustersim/restart_test.go
@@ -4,7 +4,7 @@
 
 func simulateRestarts(t *testing.T, seed uint64, names string, unfenced bool) {
 	t.Helper()
-	faults, err := FindFaults(names)
+	faults, err := ParseFaults(names)
 	if err != nil {
 		t.Fatal(err)
 	}
