--- a/internal/simulation/clustersim/region.go
+++ b/internal/simulation/clustersim/region.go
@@ -43,7 +43,7 @@
 	} else {
 		lost = l.inboundCuts > 0
 	}
-	return l.world.options.FarRegion + l.extraDelay, lost
+	return l.world.options.RegionDelay + l.extraDelay, lost
 }
 
 // stalled reports whether a stream between two zones makes no progress. This is so if either direction
--- a/internal/simulation/clustersim/region_test.go
+++ b/internal/simulation/clustersim/region_test.go
@@ -8,7 +8,7 @@
 
 // simulateFarRegion runs a simulation with the given extra one-way latency between the regions.
 func simulateFarRegion(seed uint64, regionDelay time.Duration, unfenced bool, faults []Fault) Report {
-	return New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: faults, Unfenced: unfenced, FarRegion: regionDelay}).Run()
+	return New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: faults, Unfenced: unfenced, RegionDelay: regionDelay}).Run()
 }
 
 // TestFarRegionCalm tests that latency between the regions alone causes no takeover of a job and no loss
@@ -59,7 +59,7 @@
 		farNodes, parts                = 29, 15
 		seed                           = 5
 	)
-	w := New(Options{Seed: seed, Nodes: 87, Replicas: 12, Length: until * time.Second, FarRegion: 20 * time.Millisecond})
+	w := New(Options{Seed: seed, Nodes: 87, Replicas: 12, Length: until * time.Second, RegionDelay: 20 * time.Millisecond})
 	w.After(cutAt*time.Second, func() {
 		w.link.apply((backAt-cutAt)*time.Second, func() { w.link.outboundCuts++; w.link.inboundCuts++ }, func() { w.link.outboundCuts--; w.link.inboundCuts-- })
 	})
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -44,8 +44,8 @@
 	// Unfenced makes replicas accept orders with any fence, so that only timing and expected order
 	// sequences keep two lease holders apart.
 	Unfenced bool
-	// FarRegion is the extra one-way latency between the two regions. The record store is in region-0.
-	FarRegion time.Duration
+	// RegionDelay is the extra one-way latency between the two regions. The record store is in region-0.
+	RegionDelay time.Duration
 	// Resting lets nodes follow the list of replicas only on demand, as in a large deployment, and
 	// gives every second node a small processor share.
 	Resting bool
