--- a/internal/command/simulator/simulator.go
+++ b/internal/command/simulator/simulator.go
@@ -65,7 +65,7 @@
 	}
 	return clustersim.Options{
 		Nodes: c.Int("nodes"), Replicas: c.Int("replicas"), Length: c.Duration("length"), Faults: faults,
-		Unfenced: c.Bool("unfenced"), RegionDelay: c.Duration("far-region"), Resting: c.Bool("resting"),
+		Unfenced: c.Bool("unfenced"), RegionDelay: c.Duration("far-region"), OnDemandReplicaLists: c.Bool("resting"),
 	}, nil
 }
 
--- a/internal/simulation/clustersim/clustersim_test.go
+++ b/internal/simulation/clustersim/clustersim_test.go
@@ -110,7 +110,7 @@
 	for seed := range uint64(testSeeds) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			got := New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: Faults, Resting: true}).Run()
+			got := New(Options{Seed: seed, Nodes: 6, Replicas: 5, Length: testLength, Faults: Faults, OnDemandReplicaLists: true}).Run()
 			reportViolations(t, seed, got)
 			if got.Accepted == 0 || got.Results == 0 {
 				t.Errorf("seed %d: %d jobs accepted, %d results", seed, got.Accepted, got.Results)
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -46,9 +46,9 @@
 	Unfenced bool
 	// RegionDelay is the extra one-way latency between the two regions. The record store is in region-0.
 	RegionDelay time.Duration
-	// Resting lets nodes follow the list of replicas only on demand, as in a large deployment, and
+	// OnDemandReplicaLists lets nodes follow the list of replicas only on demand, as in a large deployment, and
 	// gives every second node a small processor share.
-	Resting bool
+	OnDemandReplicaLists bool
 	// Log, if not nil, receives the log entries of nodes with the record store's clock, which starts at
 	// zero.
 	Log func(node string, clock time.Duration, number int, fields []any)
@@ -58,7 +58,7 @@
 
 // largeListThreshold returns the value of cluster.Options.LargeList, 0 for its default.
 func (o *Options) largeListThreshold() int {
-	if o.Resting {
+	if o.OnDemandReplicaLists {
 		return 1
 	}
 	return 0
@@ -216,7 +216,7 @@
 func newNode(w *World, index int) *node {
 	offset := time.Duration(w.random.Int64N(int64(2*maxWallClockOffset))) - maxWallClockOffset
 	n := &node{world: w, name: fmt.Sprintf("node-%d", index), zone: fmt.Sprintf("zone-%d", index%zoneCount), wallClockOffset: offset}
-	if w.options.Resting {
+	if w.options.OnDemandReplicaLists {
 		n.processorShare = []float64{0.8, 0.2}[index%2]
 	}
 	return n
