--- a/internal/simulation/clustersim/region_test.go
+++ b/internal/simulation/clustersim/region_test.go
@@ -20,8 +20,8 @@
 				t.Parallel()
 				got := simulateFarRegion(seed, regionDelay, false, nil)
 				reportViolations(t, seed, got)
-				if got.Taken > 0 || got.LeasesLost > 0 {
-					t.Errorf("%d jobs taken over, %d leases lost without a fault", got.Taken, got.LeasesLost)
+				if got.JobsTakenOver > 0 || got.LeasesLost > 0 {
+					t.Errorf("%d jobs taken over, %d leases lost without a fault", got.JobsTakenOver, got.LeasesLost)
 				}
 				if got.Accepted < 20 || got.Accepted != got.Jobs || got.ExactWindows < 4 {
 					t.Errorf("%d of %d jobs accepted, %d windows checked, want all jobs served in a run without faults", got.Accepted, got.Jobs, got.ExactWindows)
@@ -82,8 +82,8 @@
 			t.Errorf("%s was taken over %d times", job, takeovers)
 		}
 	}
-	if got.Taken == 0 || got.Accepted < got.Jobs {
-		t.Errorf("%d jobs taken over from the disconnected region, %d of %d accepted", got.Taken, got.Accepted, got.Jobs)
+	if got.JobsTakenOver == 0 || got.Accepted < got.Jobs {
+		t.Errorf("%d jobs taken over from the disconnected region, %d of %d accepted", got.JobsTakenOver, got.Accepted, got.Jobs)
 	}
 }
 
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -162,14 +162,14 @@
 	// Windows counts the usage reports that were accepted, ExactWindows the windows that were checked
 	// for exact counts.
 	Windows, ExactWindows int
-	// Taken counts the jobs taken over from owners that did not hand them over, LeasesLost the leases
+	// JobsTakenOver counts the jobs taken over from owners that did not hand them over, LeasesLost the leases
 	// lost.
-	Taken, LeasesLost int
+	JobsTakenOver, LeasesLost int
 }
 
 func (w *World) report() Report {
 	report := Report{Violations: w.check.violations, Faults: w.faultCounts, Results: w.check.resultCount, Orders: w.check.orderCount, Scores: w.check.scoreCount, Reads: w.check.readCount,
-		Windows: len(w.platform.accepted), ExactWindows: w.platform.exactWindows, Taken: w.owners.takeovers, LeasesLost: w.owners.leasesLost}
+		Windows: len(w.platform.accepted), ExactWindows: w.platform.exactWindows, JobsTakenOver: w.owners.takeovers, LeasesLost: w.owners.leasesLost}
 	for _, job := range w.check.jobs {
 		report.Jobs++
 		if job.acceptedAt != (time.Time{}) {
