--- a/internal/simulation/clustersim/clustersim_test.go
+++ b/internal/simulation/clustersim/clustersim_test.go
@@ -33,8 +33,8 @@
 	if got.Accepted < 20 || got.Accepted != got.Jobs || got.Results < got.Accepted*itemsPerJob*9/10 || got.Orders == 0 || got.Scores == 0 {
 		t.Errorf("%d of %d jobs accepted, %d results, %d orders, want all jobs served in a run without faults", got.Accepted, got.Jobs, got.Results, got.Orders)
 	}
-	if got.ExactWindows < 4 {
-		t.Errorf("%d usage windows were checked for exact counts, want at least 4", got.ExactWindows)
+	if got.CheckedWindows < 4 {
+		t.Errorf("%d usage windows were checked for exact counts, want at least 4", got.CheckedWindows)
 	}
 }
 
--- a/internal/simulation/clustersim/region_test.go
+++ b/internal/simulation/clustersim/region_test.go
@@ -23,8 +23,8 @@
 				if got.JobsTakenOver > 0 || got.LeasesLost > 0 {
 					t.Errorf("%d jobs taken over, %d leases lost without a fault", got.JobsTakenOver, got.LeasesLost)
 				}
-				if got.Accepted < 20 || got.Accepted != got.Jobs || got.ExactWindows < 4 {
-					t.Errorf("%d of %d jobs accepted, %d windows checked, want all jobs served in a run without faults", got.Accepted, got.Jobs, got.ExactWindows)
+				if got.Accepted < 20 || got.Accepted != got.Jobs || got.CheckedWindows < 4 {
+					t.Errorf("%d of %d jobs accepted, %d windows checked, want all jobs served in a run without faults", got.Accepted, got.Jobs, got.CheckedWindows)
 				}
 			})
 		}
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -159,9 +159,9 @@
 	Orders     int
 	Scores     int
 	Reads      int
-	// UsageReports counts the usage reports that were accepted, ExactWindows the windows that were checked
+	// UsageReports counts the usage reports that were accepted, CheckedWindows the windows that were checked
 	// for exact counts.
-	UsageReports, ExactWindows int
+	UsageReports, CheckedWindows int
 	// JobsTakenOver counts the jobs taken over from owners that did not hand them over, LeasesLost the leases
 	// lost.
 	JobsTakenOver, LeasesLost int
@@ -169,7 +169,7 @@
 
 func (w *World) report() Report {
 	report := Report{Violations: w.check.violations, Faults: w.faultCounts, Results: w.check.resultCount, Orders: w.check.orderCount, Scores: w.check.scoreCount, Reads: w.check.readCount,
-		UsageReports: len(w.platform.accepted), ExactWindows: w.platform.exactWindows, JobsTakenOver: w.owners.takeovers, LeasesLost: w.owners.leasesLost}
+		UsageReports: len(w.platform.accepted), CheckedWindows: w.platform.exactWindows, JobsTakenOver: w.owners.takeovers, LeasesLost: w.owners.leasesLost}
 	for _, job := range w.check.jobs {
 		report.Jobs++
 		if job.acceptedAt != (time.Time{}) {
