--- a/internal/simulation/clustersim/usage.go
+++ b/internal/simulation/clustersim/usage.go
@@ -56,8 +56,8 @@
 	losing int
 	// faultSpans are the time ranges in which a fault was active.
 	faultSpans []span
-	// exactWindows counts the windows that were checked for exact counts.
-	exactWindows int
+	// checkedWindows counts the windows that were checked for exact counts.
+	checkedWindows int
 }
 
 func newDutyPlatform(w *World) *dutyPlatform {
@@ -175,7 +175,7 @@
 		if from.Sub(epoch) < warmUp || p.faultBetween(from.Add(-calmPeriod-usageWindows.ReportDelay), to.Add(usageWindows.ReportDelay)) {
 			continue
 		}
-		p.exactWindows++
+		p.checkedWindows++
 		p.checkWindow(number, from, to)
 	}
 }
--- a/internal/simulation/clustersim/world.go
+++ b/internal/simulation/clustersim/world.go
@@ -46,8 +46,8 @@
 	Unfenced bool
 	// RegionDelay is the extra one-way latency between the two regions. The record store is in region-0.
 	RegionDelay time.Duration
-	// OnDemandReplicaLists lets nodes follow the list of replicas only on demand, as in a large deployment, and
-	// gives every second node a small processor share.
+	// OnDemandReplicaLists lets nodes follow the list of replicas only on demand, as in a large
+	// deployment, and gives every second node a small processor share.
 	OnDemandReplicaLists bool
 	// Log, if not nil, receives the log entries of nodes with the record store's clock, which starts at
 	// zero.
@@ -159,17 +159,17 @@
 	Orders     int
 	Scores     int
 	Reads      int
-	// UsageReports counts the usage reports that were accepted, CheckedWindows the windows that were checked
-	// for exact counts.
+	// UsageReports counts the usage reports that were accepted, CheckedWindows the windows that were
+	// checked for exact counts.
 	UsageReports, CheckedWindows int
-	// JobsTakenOver counts the jobs taken over from owners that did not hand them over, LeasesLost the leases
-	// lost.
+	// JobsTakenOver counts the jobs taken over from owners that did not hand them over, LeasesLost the
+	// leases lost.
 	JobsTakenOver, LeasesLost int
 }
 
 func (w *World) report() Report {
 	report := Report{Violations: w.check.violations, Faults: w.faultCounts, Results: w.check.resultCount, Orders: w.check.orderCount, Scores: w.check.scoreCount, Reads: w.check.readCount,
-		UsageReports: len(w.platform.accepted), CheckedWindows: w.platform.exactWindows, JobsTakenOver: w.owners.takeovers, LeasesLost: w.owners.leasesLost}
+		UsageReports: len(w.platform.accepted), CheckedWindows: w.platform.checkedWindows, JobsTakenOver: w.owners.takeovers, LeasesLost: w.owners.leasesLost}
 	for _, job := range w.check.jobs {
 		report.Jobs++
 		if job.acceptedAt != (time.Time{}) {
