--- a/internal/command/simulator/simulator.go
+++ b/internal/command/simulator/simulator.go
@@ -59,13 +59,13 @@
 
 // simulationOptions returns the options given by simulationFlags.
 func simulationOptions(c *cli.Command) (clustersim.Options, error) {
-	faults, err := clustersim.FindFaults(c.String("faults"))
+	faults, err := clustersim.ParseFaults(c.String("faults"))
 	if err != nil {
 		return clustersim.Options{}, command.Fail(command.ExitUsage, err)
 	}
 	return clustersim.Options{
 		Nodes: c.Int("nodes"), Replicas: c.Int("replicas"), Length: c.Duration("length"), Faults: faults,
-		Unfenced: c.Bool("unfenced"), FarRegion: c.Duration("far-region"), Resting: c.Bool("resting"),
+		Unfenced: c.Bool("unfenced"), RegionDelay: c.Duration("far-region"), OnDemandReplicaLists: c.Bool("resting"),
 	}, nil
 }
 
@@ -76,7 +76,7 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			table := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
 			for _, fault := range clustersim.Faults {
-				fmt.Fprintf(table, "%s\t%s\n", fault.Name, fault.Does)
+				fmt.Fprintf(table, "%s\t%s\n", fault.Name, fault.Description)
 			}
 			return table.Flush()
 		},
