--- a/internal/version/rollout/exchange.go
+++ b/internal/version/rollout/exchange.go
@@ -15,9 +15,9 @@
 	// minLengthRatio is the minimum ratio between the longest texts of two models for an exchange.
 	// Lengths are estimates, and reverting an exchange costs loads.
 	minLengthRatio = 1.2
-	// An exchange starts only while fewer than 1/transitDivisor of the service's replicas lack a
+	// Exchanges start only while fewer than 1/outdatedDivisor of the service's replicas lack a
 	// version that their model's steps accept. Each exchange adds two such replicas.
-	transitDivisor = 8
+	outdatedDivisor = 8
 )
 
 // basePaces holds the fastest pace measured for each replica. Faults and load only slow replicas
@@ -25,28 +25,28 @@
 type basePaces map[*endpoint.Endpoint]time.Duration
 
 // update records the current paces of the endpoints.
-func (n basePaces) update(now time.Time, endpoints []*endpoint.Endpoint) {
+func (b basePaces) update(now time.Time, endpoints []*endpoint.Endpoint) {
 	for _, e := range endpoints {
-		if pace := e.Pace(now); pace > 0 && (n[e] == 0 || pace < n[e]) {
-			n[e] = pace
+		if pace := e.Pace(now); pace > 0 && (b[e] == 0 || pace < b[e]) {
+			b[e] = pace
 		}
 	}
 }
 
 // removeUnlisted drops endpoints that are no longer listed.
-func (n basePaces) removeUnlisted(listed map[*endpoint.Endpoint]bool) {
-	for e := range n {
+func (b basePaces) removeUnlisted(listed map[*endpoint.Endpoint]bool) {
+	for e := range b {
 		if !listed[e] {
-			delete(n, e)
+			delete(b, e)
 		}
 	}
 }
 
 // fastest returns the fastest pace among the endpoints, or 0 if none is known.
-func (n basePaces) fastest(endpoints []*endpoint.Endpoint) time.Duration {
+func (b basePaces) fastest(endpoints []*endpoint.Endpoint) time.Duration {
 	best := time.Duration(0)
 	for _, e := range endpoints {
-		if pace := n[e]; pace > 0 && (best == 0 || pace < best) {
+		if pace := b[e]; pace > 0 && (best == 0 || pace < best) {
 			best = pace
 		}
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	best := x.basePaces.fastest(x.members)
-	room := len(x.members)/transitDivisor - x.countOutdated()
+	room := len(x.members)/outdatedDivisor - x.countOutdated()
 	for ; best > 0 && room > 0; room -= 2 {
 		slow, fast := x.nextPair(best)
 		if slow == nil {
--- a/internal/version/rollout/exchange_test.go
+++ b/internal/version/rollout/exchange_test.go
@@ -12,15 +12,15 @@
 // slower.
 func newExchangeTest(behind int64) (*groups, []*endpoint.Endpoint, basePaces, map[string]int64) {
 	list := replicas(16, "a", "b")
-	g, seen := &groups{modelOf: map[string]string{}}, basePaces{}
+	g, paces := &groups{modelOf: map[string]string{}}, basePaces{}
 	for i, e := range list {
 		g.modelOf[e.ID] = []string{"a", "b"}[i/8]
-		seen[e] = 50 * time.Millisecond
+		paces[e] = 50 * time.Millisecond
 		if i%2 == 1 {
-			seen[e] = 65 * time.Millisecond
+			paces[e] = 65 * time.Millisecond
 		}
 	}
-	return g, list, seen, map[string]int64{"a": 1 + behind, "b": 1 + behind}
+	return g, list, paces, map[string]int64{"a": 1 + behind, "b": 1 + behind}
 }
 
 func TestExchange(t *testing.T) {
@@ -28,7 +28,7 @@
 		name    string
 		longest map[string]int64
 		behind  int64
-		change  func(g *groups, list []*endpoint.Endpoint, seen basePaces)
+		change  func(g *groups, list []*endpoint.Endpoint, paces basePaces)
 		// slowA and slowB are the numbers of slow replicas that the models end up with.
 		slowA, slowB int
 	}{
@@ -41,22 +41,22 @@
 		{"every replica follows all models", map[string]int64{"a": 160, "b": 90}, 1, func(g *groups, _ []*endpoint.Endpoint, _ basePaces) {
 			g.shared = true
 		}, 4, 4},
-		{"no paces known", map[string]int64{"a": 160, "b": 90}, 1, func(_ *groups, _ []*endpoint.Endpoint, seen basePaces) { clear(seen) }, 0, 0},
+		{"no paces known", map[string]int64{"a": 160, "b": 90}, 1, func(_ *groups, _ []*endpoint.Endpoint, paces basePaces) { clear(paces) }, 0, 0},
 		{"a replica without the other model stays", map[string]int64{"a": 160, "b": 90}, 1, func(_ *groups, list []*endpoint.Endpoint, _ basePaces) {
 			for _, e := range list[:8] {
 				delete(e.Versions, "b")
 			}
 		}, 4, 4},
 	} {
-		g, list, seen, targets := newExchangeTest(c.behind)
+		g, list, paces, targets := newExchangeTest(c.behind)
 		if c.change != nil {
-			c.change(g, list, seen)
+			c.change(g, list, paces)
 		}
-		x := groupExchange{groups: g, members: list, targets: targets, maxLengths: c.longest, basePaces: seen}
+		x := groupExchange{groups: g, members: list, targets: targets, maxLengths: c.longest, basePaces: paces}
 		x.run()
 		slow := map[string]int{}
 		for _, e := range list {
-			if seen[e] > 50*time.Millisecond {
+			if paces[e] > 50*time.Millisecond {
 				slow[g.modelOf[e.ID]]++
 			}
 		}
@@ -72,8 +72,8 @@
 // TestExchangeConverges checks that the model with longer texts ends up with all fast replicas, and
 // that exchanges then stop.
 func TestExchangeConverges(t *testing.T) {
-	g, list, seen, targets := newExchangeTest(1)
-	x := groupExchange{groups: g, members: list, targets: targets, maxLengths: map[string]int64{"a": 160, "b": 90}, basePaces: seen}
+	g, list, paces, targets := newExchangeTest(1)
+	x := groupExchange{groups: g, members: list, targets: targets, maxLengths: map[string]int64{"a": 160, "b": 90}, basePaces: paces}
 	for range 8 {
 		x.run()
 		for _, e := range list {
@@ -91,19 +91,19 @@
 
 // TestBasePaceIsFastestPace checks that a temporary slowdown does not change a replica's base pace.
 func TestBasePaceIsFastestPace(t *testing.T) {
-	now, list, seen := time.Unix(1000, 0), replicas(2, "a"), basePaces{}
+	now, list, paces := time.Unix(1000, 0), replicas(2, "a"), basePaces{}
 	list[0].UpdatePace(now, 50*time.Millisecond)
-	seen.update(now, list)
+	paces.update(now, list)
 	for range 20 {
 		list[0].UpdatePace(now, 200*time.Millisecond)
 	}
-	seen.update(now, list)
-	if seen[list[0]] != 50*time.Millisecond || seen[list[1]] != 0 {
-		t.Errorf("base paces %v", seen)
+	paces.update(now, list)
+	if paces[list[0]] != 50*time.Millisecond || paces[list[1]] != 0 {
+		t.Errorf("base paces %v", paces)
 	}
-	seen.removeUnlisted(map[*endpoint.Endpoint]bool{list[1]: true})
-	if len(seen) != 0 {
-		t.Errorf("base paces %v for an unlisted replica", seen)
+	paces.removeUnlisted(map[*endpoint.Endpoint]bool{list[1]: true})
+	if len(paces) != 0 {
+		t.Errorf("base paces %v for an unlisted replica", paces)
 	}
 }
 
@@ -132,12 +132,12 @@
 
 // TestLoadingReplicasAreNotExchanged checks that replicas with a pending order are not exchanged.
 func TestLoadingReplicasAreNotExchanged(t *testing.T) {
-	g, list, seen, targets := newExchangeTest(1)
+	g, list, paces, targets := newExchangeTest(1)
 	ordered := map[string]bool{}
 	for _, e := range list[:8] {
 		ordered[e.ID] = true
 	}
-	x := groupExchange{groups: g, members: list, targets: targets, maxLengths: map[string]int64{"a": 160, "b": 90}, basePaces: seen, loading: ordered}
+	x := groupExchange{groups: g, members: list, targets: targets, maxLengths: map[string]int64{"a": 160, "b": 90}, basePaces: paces, loading: ordered}
 	x.run()
 	for i, e := range list {
 		if want := []string{"a", "b"}[i/8]; g.modelOf[e.ID] != want {
--- a/internal/version/rollout/limit.go
+++ b/internal/version/rollout/limit.go
@@ -52,8 +52,8 @@
 	ramping      bool
 }
 
-// atOnce returns how many of n replicas may load concurrently.
-func (l *loadLimit) atOnce(n int) int {
+// maxConcurrent returns how many of n replicas may load concurrently.
+func (l *loadLimit) maxConcurrent(n int) int {
 	if l.limit == 0 {
 		l.limit, l.ramping = max(minConcurrentLoads, int(initialLoadFraction*float64(n))), true
 	}
@@ -83,8 +83,8 @@
 	l.normal, l.slow, l.minSlowdown = 0, 0, 0
 }
 
-// finished records a load and the maximum number of loads that ran concurrently with it.
-func (l *loadLimit) finished(load observedLoad, concurrent int) {
+// recordLoad records a load and the maximum number of loads that ran concurrently with it.
+func (l *loadLimit) recordLoad(load observedLoad, concurrent int) {
 	if took := load.doneAt.Sub(load.orderedAt); l.shortestLoad == 0 || took < l.shortestLoad {
 		l.shortestLoad = took
 	}
--- a/internal/version/rollout/limit_test.go
+++ b/internal/version/rollout/limit_test.go
@@ -12,9 +12,9 @@
 func observe(took time.Duration) observedLoad {
 	const lag = 150 * time.Millisecond
 	load := observedLoad{orderedAt: time.Unix(1000, 0)}
-	for look := initialReportDelay; ; look += reportInterval {
-		at := load.orderedAt.Add(look)
-		if look-lag >= took {
+	for delay := initialReportDelay; ; delay += reportInterval {
+		at := load.orderedAt.Add(delay)
+		if delay-lag >= took {
 			load.doneAt = at
 			return load
 		}
@@ -26,8 +26,8 @@
 // loads.
 func (l *loadLimit) runLoads(loads, replicas, capacity int) {
 	for range loads {
-		loading := l.atOnce(replicas)
-		l.finished(observe(normalLoadDuration*time.Duration(max(loading, capacity))/time.Duration(capacity)), loading)
+		loading := l.maxConcurrent(replicas)
+		l.recordLoad(observe(normalLoadDuration*time.Duration(max(loading, capacity))/time.Duration(capacity)), loading)
 	}
 }
 
@@ -37,7 +37,7 @@
 	} {
 		var limit loadLimit
 		limit.runLoads(400, c.replicas, c.capacity)
-		if got := limit.atOnce(c.replicas); got < c.least || got > c.most {
+		if got := limit.maxConcurrent(c.replicas); got < c.least || got > c.most {
 			t.Errorf("%d replicas, capacity for %d concurrent loads: the limit is %d", c.replicas, c.capacity, got)
 		}
 	}
@@ -45,10 +45,10 @@
 
 func TestSingleSlowLoadKeepsLimit(t *testing.T) {
 	var limit loadLimit
-	before := limit.atOnce(45)
-	limit.finished(observe(time.Second), 1)
-	limit.finished(observe(3*time.Second), 1)
-	if got := limit.atOnce(45); got != before {
+	before := limit.maxConcurrent(45)
+	limit.recordLoad(observe(time.Second), 1)
+	limit.recordLoad(observe(3*time.Second), 1)
+	if got := limit.maxConcurrent(45); got != before {
 		t.Errorf("a single slow load changed the limit from %d to %d", before, got)
 	}
 }
@@ -60,15 +60,15 @@
 	limit.runLoads(200, 128, 26)
 	// A replica's record can show the end of a load before a poll does.
 	fromRecord := observedLoad{orderedAt: time.Unix(1000, 0), doneAt: time.Unix(1000, 0).Add(920 * time.Millisecond)}
-	limit.finished(fromRecord, 1)
-	before := limit.atOnce(128)
+	limit.recordLoad(fromRecord, 1)
+	before := limit.maxConcurrent(128)
 	for range 40 {
 		load := observe(normalLoadDuration)
 		load.lastLoadingAt = load.orderedAt.Add(initialReportDelay + 30*time.Millisecond)
 		load.doneAt = load.orderedAt.Add(1200 * time.Millisecond)
-		limit.finished(load, limit.atOnce(128))
+		limit.recordLoad(load, limit.maxConcurrent(128))
 	}
-	if got := limit.atOnce(128); got < before {
+	if got := limit.maxConcurrent(128); got < before {
 		t.Errorf("loads of normal duration changed the limit from %d to %d", before, got)
 	}
 }
@@ -77,11 +77,11 @@
 func TestRoundLowersTheLimitOnce(t *testing.T) {
 	var limit loadLimit
 	limit.runLoads(200, 128, 26)
-	before := limit.atOnce(128)
+	before := limit.maxConcurrent(128)
 	for range before {
-		limit.finished(observe(2*normalLoadDuration), before)
+		limit.recordLoad(observe(2*normalLoadDuration), before)
 	}
-	if got := limit.atOnce(128); got >= before || got < before/2-1 {
+	if got := limit.maxConcurrent(128); got >= before || got < before/2-1 {
 		t.Errorf("loads of twice the normal duration changed the limit from %d to %d", before, got)
 	}
 }
--- a/internal/version/rollout/order.go
+++ b/internal/version/rollout/order.go
@@ -51,8 +51,8 @@
 // expireUnacknowledged drops a pending order if it was not acknowledged in time and the report
 // shows no sign of it. Reports lag, so a single one is not conclusive before acknowledgeTimeout.
 func (r *Rollout) expireUnacknowledged(now time.Time, state *replicaState, report port.ReplicaReport) {
-	taken := report.Loading || report.Sequence > state.sequence
-	if !state.acknowledged && !taken && now.Sub(state.orderedAt) >= acknowledgeTimeout {
+	received := report.Loading || report.Sequence > state.sequence
+	if !state.acknowledged && !received && now.Sub(state.orderedAt) >= acknowledgeTimeout {
 		state.orderPending = false
 	}
 }
--- a/internal/version/rollout/queue.go
+++ b/internal/version/rollout/queue.go
@@ -32,18 +32,18 @@
 func mergeQueues(queues []*loadQueue) []pendingLoad {
 	var list []pendingLoad
 	for {
-		var neediest *loadQueue
+		var lowest *loadQueue
 		for _, q := range queues {
-			if len(q.required) > 0 && (neediest == nil || q.share() < neediest.share()) {
-				neediest = q
+			if len(q.required) > 0 && (lowest == nil || q.share() < lowest.share()) {
+				lowest = q
 			}
 		}
-		if neediest == nil {
+		if lowest == nil {
 			break
 		}
-		list = append(list, neediest.required[0])
-		neediest.required = neediest.required[1:]
-		neediest.usable++
+		list = append(list, lowest.required[0])
+		lowest.required = lowest.required[1:]
+		lowest.usable++
 	}
 	for _, q := range queues {
 		list = append(list, q.optional...)
--- a/internal/version/rollout/restart_test.go
+++ b/internal/version/rollout/restart_test.go
@@ -126,8 +126,8 @@
 		name        string
 		holder      string
 		incarnation uint64
-		// taken is the number of orders that the replica accepted before the unanswered one.
-		taken int64
+		// accepted is the number of orders that the replica accepted before the unanswered one.
+		accepted int64
 		// restartsEarly is set if the replica restarts before the new holder acts, and then reaches
 		// the sequence number that the order expects.
 		restartsEarly bool
@@ -144,7 +144,7 @@
 			b.generators["r0"].StartedAt, b.generators["r0"].Unfenced = b.endpoints[0].StartedAt, true
 			b.run(time.Second)
 			version := int64(3)
-			for range c.taken {
+			for range c.accepted {
 				b.rollout.SetTarget(port.VersionTarget{Model: "m", Version: version})
 				b.run(3 * time.Second)
 				version += 2
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -120,9 +120,9 @@
 		groups: &r.groups, members: serving, targets: r.targets, maxLengths: r.options.MaxTextLengths(now), basePaces: r.basePaces, loading: r.replicasWithOrders(serving),
 	}
 	exchange.run()
-	atOnce := limit.atOnce(len(members))
-	loading = r.orderLoads(now, serving, loading, atOnce)
-	r.orderLoads(now, evacuated, loading, max(int(evacuatedLoadFraction*float64(atOnce)), 1))
+	maxConcurrent := limit.maxConcurrent(len(members))
+	loading = r.orderLoads(now, serving, loading, maxConcurrent)
+	r.orderLoads(now, evacuated, loading, max(int(evacuatedLoadFraction*float64(maxConcurrent)), 1))
 }
 
 // replicasWithOrders returns the IDs of the replicas with a pending order.
@@ -145,15 +145,15 @@
 	return slices.DeleteFunc(slices.Clone(members), func(e *endpoint.Endpoint) bool { return e.UnschedulableReason() != reason })
 }
 
-// orderLoads orders pending loads until atOnce loads are in progress. It returns the number of
-// loads in progress.
-func (r *Rollout) orderLoads(now time.Time, members []*endpoint.Endpoint, loading, atOnce int) int {
+// orderLoads orders pending loads until maxConcurrent loads are in progress. It returns the number
+// of loads in progress.
+func (r *Rollout) orderLoads(now time.Time, members []*endpoint.Endpoint, loading, maxConcurrent int) int {
 	for _, load := range r.pendingLoads(members) {
 		state := r.stateOf(load.endpoint)
 		if state.orderPending || now.Before(state.notBefore) {
 			continue
 		}
-		if loading >= atOnce {
+		if loading >= maxConcurrent {
 			break
 		}
 		loading++
@@ -213,7 +213,7 @@
 		state.maxConcurrent = max(state.maxConcurrent, loading)
 		switch {
 		case e.Versions[state.model] >= state.version:
-			limit.finished(observedLoad{orderedAt: state.orderedAt, lastLoadingAt: state.lastLoadingAt, doneAt: now}, state.maxConcurrent)
+			limit.recordLoad(observedLoad{orderedAt: state.orderedAt, lastLoadingAt: state.lastLoadingAt, doneAt: now}, state.maxConcurrent)
 			r.completeLoad(now, e, state)
 			loading--
 		case now.Sub(state.orderedAt) >= loadTimeout:
