--- a/internal/version/recordlease/fenced_test.go
+++ b/internal/version/recordlease/fenced_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// fence configures the leases for targets that reject older fences.
-func (b *testBench) fence() {
+// enableFencing configures the leases for targets that reject older fences.
+func (b *testBench) enableFencing() {
 	for _, lease := range b.leases {
 		lease.options.Fenced = true
 		lease.options.StartedAt = b.now.Add(-time.Minute)
@@ -17,7 +17,7 @@
 // since delayed acts of the previous holder are rejected.
 func TestFencedLeaseNeedsNoPause(t *testing.T) {
 	b, first := newTestBenchWithActingHolder(t, 2)
-	b.fence()
+	b.enableFencing()
 	second := 1 - first
 	b.disconnected[first] = true
 	for !b.leases[second].Held(b.now) {
@@ -33,7 +33,7 @@
 func TestFencedLeaseDoesNotAlternate(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		b, first := newTestBenchWithActingHolder(t, 2)
-		b.fence()
+		b.enableFencing()
 		second := 1 - first
 		actsWithin(b, first, time.Second)
 		lastAct := b.now
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -56,7 +56,7 @@
 
 	record   *doorstepv1.OrderLease
 	revision int64
-	// changedAt is when this node last saw the record change or regained sight of it.
+	// changedAt is when this node last saw the record change, or could observe it again.
 	changedAt time.Time
 
 	held          bool
--- a/internal/version/recordlease/testbench_test.go
+++ b/internal/version/recordlease/testbench_test.go
@@ -87,8 +87,8 @@
 
 // clock returns the store's clock with an uncertainty of 20 ms.
 func (b *testBench) clock(now time.Time) (least, most time.Duration, known bool) {
-	shown := now.Sub(time.Unix(1000, 0))
-	return shown - 10*time.Millisecond, shown + 10*time.Millisecond, true
+	elapsed := now.Sub(time.Unix(1000, 0))
+	return elapsed - 10*time.Millisecond, elapsed + 10*time.Millisecond, true
 }
 
 // restart replaces a node's lease by a new incarnation.
--- a/internal/version/recordlease/timing.go
+++ b/internal/version/recordlease/timing.go
@@ -14,9 +14,9 @@
 }
 
 var (
-	// FastTiming is for duties that callers wait for.
+	// FastTiming is for leases whose holder does work that callers wait for.
 	FastTiming = Timing{Validity: 1500 * time.Millisecond, RenewEvery: 500 * time.Millisecond, TakeoverAfter: 2 * time.Second, TakeoverSpread: 700 * time.Millisecond}
-	// SlowTiming is for duties that tolerate some seconds of delay. It halves the number of
-	// renewals, each of which is sent to all nodes.
+	// SlowTiming is for leases whose work tolerates some seconds of delay. It halves the number
+	// of renewals, each of which is sent to all nodes.
 	SlowTiming = Timing{Validity: 2500 * time.Millisecond, RenewEvery: time.Second, TakeoverAfter: 3 * time.Second, TakeoverSpread: 700 * time.Millisecond}
 )
