--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -65,7 +65,7 @@
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
 		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Timing: cadence,
 		Fenced: fenced, StartedAt: n.startedAt,
-		Jitter: n.random.Float64(), Nodes: n.NodeCount, ObservedUntil: n.sharedObservedUntil, Clock: n.clock.bounds,
+		Jitter: n.random.Float64(), NodeCount: n.NodeCount, ObservedUntil: n.sharedObservedUntil, Clock: n.clock.bounds,
 	}
 }
 
--- a/internal/version/recordlease/recordlease.go
+++ b/internal/version/recordlease/recordlease.go
@@ -34,10 +34,10 @@
 	// holders do not alternate.
 	Fenced    bool
 	StartedAt time.Time
-	// Jitter, from 0 to 1, spreads takeover attempts. Nodes returns the number of nodes, or 0 if
-	// unknown.
-	Jitter float64
-	Nodes  func() int
+	// Jitter, from 0 to 1, spreads takeover attempts. NodeCount returns the number of nodes, or 0
+	// if unknown.
+	Jitter    float64
+	NodeCount func() int
 	// Clock returns the bounds of the store's monotonic clock. known is false before the first
 	// answer of the store.
 	Clock func(now time.Time) (least, most time.Duration, known bool)
@@ -245,7 +245,7 @@
 	if l.record.Holder == "" || l.record.Holder == l.options.Holder {
 		return true
 	}
-	jitter := time.Duration(l.options.Jitter * float64(TakeoverSpread(l.options.Timing.TakeoverSpread, l.options.Nodes)))
+	jitter := time.Duration(l.options.Jitter * float64(TakeoverSpread(l.options.Timing.TakeoverSpread, l.options.NodeCount)))
 	return observed.Sub(l.changedAt) >= l.options.Timing.TakeoverAfter+jitter
 }
 
