--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -278,7 +278,7 @@
 // usage counts are stored. It waits for the latter two only for a limited time.
 func (n *Node) CanExit(now time.Time) bool {
 	stopping := now.Sub(n.stoppingAt)
-	return n.Stopping() && stopping >= shutdownDelay && (n.jobs.Owned() == 0 || stopping >= 2*shutdownDelay) && (n.usageFlushed() || stopping >= usageFlushTimeout)
+	return n.Stopping() && stopping >= shutdownDelay && (n.jobs.OwnedCount() == 0 || stopping >= 2*shutdownDelay) && (n.usageFlushed() || stopping >= usageFlushTimeout)
 }
 
 // applyRoutes activates a route table unless a newer version is already active.
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -356,7 +356,7 @@
 	newcomer.list("r0", 0)
 	newcomer.run(time.Second)
 	newcomer.accept()
-	for newcomer.jobs.Owned() == 0 {
+	for newcomer.jobs.OwnedCount() == 0 {
 		newcomer.Step()
 	}
 	ownsAt := newcomer.Now
--- a/internal/process/cluster/replicalist.go
+++ b/internal/process/cluster/replicalist.go
@@ -63,7 +63,7 @@
 // replicaExtent returns how much of the list of replicas this node needs.
 func (n *Node) replicaExtent(now time.Time) recordwatch.Extent {
 	use := &n.replicaDemand
-	if n.jobs.Owned() > 0 || n.holdsReplicaLease(now) {
+	if n.jobs.OwnedCount() > 0 || n.holdsReplicaLease(now) {
 		use.wholeUntil = now.Add(wholeRetention)
 	}
 	switch {
--- a/internal/process/cluster/standing.go
+++ b/internal/process/cluster/standing.go
@@ -18,7 +18,7 @@
 		return batch.Slow
 	case !n.listIsLarge():
 		return batch.Normal
-	case n.knowsAllReplicas() && n.jobs.Owned() == 0 && !n.holdsReplicaLease(now):
+	case n.knowsAllReplicas() && n.jobs.OwnedCount() == 0 && !n.holdsReplicaLease(now):
 		return batch.Ready
 	}
 	return batch.NotReady
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -67,7 +67,7 @@
 
 // idle reports whether nothing on this node depends on prompt updates: it owns no job and orders no
 // versions. This holds for most nodes of a large deployment.
-func (n *Node) idle(now time.Time) bool { return n.jobs.Owned() == 0 && !n.lease.Held(now) }
+func (n *Node) idle(now time.Time) bool { return n.jobs.OwnedCount() == 0 && !n.lease.Held(now) }
 
 // toleratesDelay reports whether updates of jobs may arrive late: the node is idle, no caller waits for a
 // job, and the node is not first in line for the next one.
--- a/internal/version/batch/assign_test.go
+++ b/internal/version/batch/assign_test.go
@@ -54,12 +54,12 @@
 	other.now = owner.now
 	syncHeads(other)
 	other.accept(second)
-	if other.jobs.Owned() != 0 {
+	if other.jobs.OwnedCount() != 0 {
 		t.Fatal("the node that accepted the job runs it")
 	}
 	syncHeads(owner)
 	owner.elapse(100 * time.Millisecond)
-	if owner.jobs.Owned() != 2 {
-		t.Errorf("the owner runs %d jobs, want 2", owner.jobs.Owned())
+	if owner.jobs.OwnedCount() != 2 {
+		t.Errorf("the owner runs %d jobs, want 2", owner.jobs.OwnedCount())
 	}
 }
--- a/internal/version/batch/batch.go
+++ b/internal/version/batch/batch.go
@@ -305,5 +305,5 @@
 // Resume allows taking jobs over again after Stop.
 func (j *Jobs) Resume() { j.stopping = false }
 
-// Owned returns the number of jobs owned by this node.
-func (j *Jobs) Owned() int { return len(j.owned) }
+// OwnedCount returns the number of jobs owned by this node.
+func (j *Jobs) OwnedCount() int { return len(j.owned) }
--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -26,8 +26,8 @@
 	if len(got) != 3 || !got[0].Completed || got[0].Message != "j-0#1\nj-0#2\nj-0#3\nj-0#4" || got[0].Versions[0] != 2 {
 		t.Errorf("%v", got)
 	}
-	if state, ok := n.jobs.Lookup("j"); !ok || state.Listed != 3 || n.jobs.Owned() != 0 {
-		t.Errorf("%+v, %d owned", state, n.jobs.Owned())
+	if state, ok := n.jobs.Lookup("j"); !ok || state.Listed != 3 || n.jobs.OwnedCount() != 0 {
+		t.Errorf("%+v, %d owned", state, n.jobs.OwnedCount())
 	}
 }
 
--- a/internal/version/batch/owner_test.go
+++ b/internal/version/batch/owner_test.go
@@ -62,7 +62,7 @@
 			syncHeads(other)
 			other.jobs.SetObserving(other.now, c.observes)
 			other.elapse(c.within)
-			if got := other.jobs.Owned() == 1; got != c.takes {
+			if got := other.jobs.OwnedCount() == 1; got != c.takes {
 				t.Errorf("taken %t, want %t", got, c.takes)
 			}
 		})
@@ -124,7 +124,7 @@
 		owner.finish(run, task.RunCompleted, 2, 5)
 	}
 	owner.elapse(200 * time.Millisecond)
-	if got := owner.results(t, "j"); len(got) != 1 || got[0].Message != "j-0#1\nj-0#2" || owner.jobs.Owned() != 0 {
+	if got := owner.results(t, "j"); len(got) != 1 || got[0].Message != "j-0#1\nj-0#2" || owner.jobs.OwnedCount() != 0 {
 		t.Errorf("results %v, want the one listed by the new owner", got)
 	}
 }
@@ -177,8 +177,8 @@
 		n := newTestNode("b", newStore())
 		c.begin(n)
 		n.elapse(time.Second)
-		if head := n.jobs.heads["j"]; head == nil || head.Owner != "" || n.jobs.Owned() != 0 {
-			t.Errorf("%s: head record %v, %d jobs owned", c.name, head, n.jobs.Owned())
+		if head := n.jobs.heads["j"]; head == nil || head.Owner != "" || n.jobs.OwnedCount() != 0 {
+			t.Errorf("%s: head record %v, %d jobs owned", c.name, head, n.jobs.OwnedCount())
 		}
 		if runs := n.takeRuns(); len(runs) > 0 {
 			t.Errorf("%s: %d runs started", c.name, len(runs))
--- a/internal/version/batch/regions_test.go
+++ b/internal/version/batch/regions_test.go
@@ -61,7 +61,7 @@
 		other.now = owner.now
 		syncHeads(other)
 		other.elapse(takeoverTimeout + 2*takeoverSpread)
-		if got := other.jobs.Owned() == 1; got != c.takes {
+		if got := other.jobs.OwnedCount() == 1; got != c.takes {
 			t.Errorf("%s: taken %t, want %t", c.name, got, c.takes)
 		}
 	}
@@ -77,7 +77,7 @@
 	owner.now = acceptor.now
 	syncHeads(owner)
 	owner.elapse(takeoverTimeout + 2*takeoverSpread)
-	if owner.jobs.Owned() != 1 {
+	if owner.jobs.OwnedCount() != 1 {
 		t.Fatal("a node in a home region did not take the job over")
 	}
 	runs := owner.takeRuns()
@@ -90,8 +90,8 @@
 		owner.finish(run, task.RunInterrupted, 2, 3)
 	}
 	owner.elapse(200 * time.Millisecond)
-	if started := owner.takeRuns(); len(started) > 0 || owner.jobs.Owned() != 0 {
-		t.Errorf("%d runs started, %d jobs owned", len(started), owner.jobs.Owned())
+	if started := owner.takeRuns(); len(started) > 0 || owner.jobs.OwnedCount() != 0 {
+		t.Errorf("%d runs started, %d jobs owned", len(started), owner.jobs.OwnedCount())
 	}
 	next.setHomeRegions("south")
 	next.now = owner.now
@@ -101,7 +101,7 @@
 		t.Errorf("head record has owner %q, regions %v", head.Owner, head.Regions)
 	}
 	next.elapse(takeoverSpread)
-	if next.jobs.Owned() != 1 {
+	if next.jobs.OwnedCount() != 1 {
 		t.Error("a node in the new home region did not take the job over")
 	}
 }
@@ -114,7 +114,7 @@
 	owner.elapse(100 * time.Millisecond)
 	owner.setHomeRegions("south")
 	owner.elapse(time.Second)
-	if owner.jobs.Owned() != 1 || len(owner.takeRuns()) != 2 {
+	if owner.jobs.OwnedCount() != 1 || len(owner.takeRuns()) != 2 {
 		t.Error("the accepting node does not run the job")
 	}
 	if head := owner.jobs.heads["j"]; !slices.Equal(head.Regions, []string{"south", "west"}) || head.AcceptedIn != "west" {
@@ -182,12 +182,12 @@
 		n.now = former.now
 		syncHeads(n)
 		n.elapse(time.Second)
-		if n.jobs.Owned() != 0 {
+		if n.jobs.OwnedCount() != 0 {
 			t.Errorf("handed over %t: taken before the configuration was loaded", handedOver)
 		}
 		known = true
 		n.elapse(time.Second)
-		if n.jobs.Owned() != 1 {
+		if n.jobs.OwnedCount() != 1 {
 			t.Errorf("handed over %t: not taken after the configuration was loaded", handedOver)
 		}
 	}
@@ -246,7 +246,7 @@
 		t.Errorf("head record has owner %q, regions %v", head.Owner, head.Regions)
 	}
 	next.elapse(takeoverSpread)
-	if next.jobs.Owned() != 1 {
+	if next.jobs.OwnedCount() != 1 {
 		t.Error("a node in the new home region did not take the job over")
 	}
 }
--- a/internal/version/batch/scoring_test.go
+++ b/internal/version/batch/scoring_test.go
@@ -304,7 +304,7 @@
 	n.finish(runs[0], task.RunInterrupted, 2, 3)
 	n.finish(runs[1], task.RunCompleted, 2, 10)
 	n.elapse(200 * time.Millisecond)
-	if n.jobs.Owned() != 0 {
+	if n.jobs.OwnedCount() != 0 {
 		t.Error("the job was not handed over")
 	}
 }
--- a/internal/version/batch/standing_test.go
+++ b/internal/version/batch/standing_test.go
@@ -47,15 +47,15 @@
 		}
 		nodes[0].accept(newJob("j", 2))
 		began := nodes[0].now
-		for nodes[0].now.Sub(began) < c.within && nodes[c.runs].jobs.Owned() == 0 {
+		for nodes[0].now.Sub(began) < c.within && nodes[c.runs].jobs.OwnedCount() == 0 {
 			for _, node := range nodes {
 				syncHeads(node)
 				node.elapse(25 * time.Millisecond)
 			}
 		}
 		for i, node := range nodes {
-			if isOwner := node.jobs.Owned() == 1; isOwner != (i == c.runs) {
-				t.Errorf("accepted by %d, others %v: node %d owns %d jobs after %s", c.accepts, c.others, i, node.jobs.Owned(), nodes[0].now.Sub(began))
+			if isOwner := node.jobs.OwnedCount() == 1; isOwner != (i == c.runs) {
+				t.Errorf("accepted by %d, others %v: node %d owns %d jobs after %s", c.accepts, c.others, i, node.jobs.OwnedCount(), nodes[0].now.Sub(began))
 			}
 		}
 	}
