--- a/internal/version/batch/forecast_test.go
+++ b/internal/version/batch/forecast_test.go
@@ -39,10 +39,10 @@
 		desired int
 		// events returns the number of events of an item's text; -1 for a complete text.
 		events func(item int) int
-		// most is the maximum number of events, left the expected remaining time, or 0 if
+		// maxEvents is the maximum number of events, remaining the expected time to completion, or 0 if
 		// unknown.
-		most int
-		left time.Duration
+		maxEvents int
+		remaining time.Duration
 	}{
 		{"the slowest of all groups", 6 * time.Second, 4, func(item int) int { return 100 + item }, 140, 40 * forecastPace},
 		{"the slowest of the requested groups", 6 * time.Second, 3, func(item int) int { return 100 + item }, 140, 36 * forecastPace},
@@ -59,7 +59,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n, runs := newProgressNode(t, c.desired, c.age)
-			n.maxEvents = c.most
+			n.maxEvents = c.maxEvents
 			for _, run := range runs {
 				item := 0
 				for i, batchItem := range n.jobs.owned["j"].job.Items {
@@ -74,11 +74,11 @@
 				}
 			}
 			got := n.jobs.owned["j"].forecastCompletion(n.now)
-			if got.IsZero() != (c.left == 0) {
-				t.Fatalf("complete at %s, want known %t", got, c.left != 0)
+			if got.IsZero() != (c.remaining == 0) {
+				t.Fatalf("complete at %s, want known %t", got, c.remaining != 0)
 			}
-			if left := got.Sub(n.now); c.left != 0 && (left-c.left).Abs() > time.Millisecond {
-				t.Errorf("complete in %s, want %s", left, c.left)
+			if left := got.Sub(n.now); c.remaining != 0 && (left-c.remaining).Abs() > time.Millisecond {
+				t.Errorf("complete in %s, want %s", left, c.remaining)
 			}
 		})
 	}
--- a/internal/version/batch/holdback_test.go
+++ b/internal/version/batch/holdback_test.go
@@ -19,12 +19,12 @@
 }
 
 func TestHoldback(t *testing.T) {
-	const due = 8 * time.Second
+	const deadline = 8 * time.Second
 	for _, c := range []struct {
 		name string
-		// at is the job's age when all items but those in left finish.
-		at   time.Duration
-		left []int
+		// at is the job's age when all items except unfinished ones finish.
+		at         time.Duration
+		unfinished []int
 		// desired is the number of groups requested by the client.
 		desired int
 		// after is the delay before the results are read.
@@ -42,12 +42,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := newTestNode("a", newStore())
-			n.route.ResultDeadline = due
+			n.route.ResultDeadline = deadline
 			n.accept(newGroupedJob(4, c.desired))
 			n.elapse(200 * time.Millisecond)
 			n.now = epoch.Add(c.at)
 			missing := map[string]bool{}
-			for _, index := range c.left {
+			for _, index := range c.unfinished {
 				missing[n.jobs.owned["j"].job.Items[index].Id] = true
 			}
 			for _, run := range n.takeRuns() {
--- a/internal/version/batch/length_test.go
+++ b/internal/version/batch/length_test.go
@@ -29,10 +29,10 @@
 
 func TestLengthEstimate(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		texts            int
-		hint, made, most int
-		want             lengthEstimate
+		name                    string
+		texts                   int
+		hint, generated, target int
+		want                    lengthEstimate
 	}{
 		{"too few samples", minLengthSamples - 1, 1000, 0, 150, lengthEstimate{}},
 		{"a long hint: truncated samples do not count for longer texts", 100, 900, 0, 150, lengthEstimate{probability: 51.0 / 77, meanRemaining: (25*54 + 50*160) / 75.0, known: true}},
@@ -43,7 +43,7 @@
 		{"no hint", 100, 0, 30, 150, lengthEstimate{probability: 26.0 / 52, meanRemaining: 80, known: true}},
 		{"longer than all samples", 100, 900, 160, 170, lengthEstimate{}},
 	} {
-		got := newLengthHistory(c.texts).estimate(c.hint, c.made, c.most)
+		got := newLengthHistory(c.texts).estimate(c.hint, c.generated, c.target)
 		if got.known != c.want.known || math.Abs(got.probability-c.want.probability) > 1e-9 || math.Abs(got.meanRemaining-c.want.meanRemaining) > 1e-9 {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
--- a/internal/version/batch/owner_test.go
+++ b/internal/version/batch/owner_test.go
@@ -132,8 +132,8 @@
 // TestTakersSpreadByTheirNumber tests that the number of nodes that attempt a takeover, before
 // they can observe the first one, does not exceed the write rate of a partition.
 func TestTakersSpreadByTheirNumber(t *testing.T) {
-	const heardWithin, partWrites = time.Second / 3, 200
-	for _, c := range []struct{ nodes, most int }{{10, 10}, {100, 40}, {986, partWrites}, {1972, partWrites}} {
+	const watchDelay, partitionWrites = time.Second / 3, 200
+	for _, c := range []struct{ nodes, maxTries int }{{10, 10}, {100, 40}, {986, partitionWrites}, {1972, partitionWrites}} {
 		var spreads []time.Duration
 		for i := range c.nodes {
 			j := newTestNode(fmt.Sprintf("node-%d", i), newStore()).jobs
@@ -142,11 +142,11 @@
 		}
 		first, tries := slices.Min(spreads), 0
 		for _, each := range spreads {
-			if each <= first+heardWithin {
+			if each <= first+watchDelay {
 				tries++
 			}
 		}
-		if tries > c.most || first > takeoverSpread {
+		if tries > c.maxTries || first > takeoverSpread {
 			t.Errorf("%d of %d nodes attempt a takeover, the first after %s", tries, c.nodes, first)
 		}
 	}
--- a/internal/version/batch/pulse_test.go
+++ b/internal/version/batch/pulse_test.go
@@ -36,13 +36,13 @@
 // TestFlushesAlignReads tests that the read that is open when the last result is listed started
 // at least half a second earlier, regardless of the client's initial phase.
 func TestFlushesAlignReads(t *testing.T) {
-	const due, tick = 7500 * time.Millisecond, 10 * time.Millisecond
+	const deadline, tick = 7500 * time.Millisecond, 10 * time.Millisecond
 	for phase := time.Duration(0); phase < time.Second; phase += 50 * time.Millisecond {
 		for _, completeAfter := range []time.Duration{7900 * time.Millisecond, 8050 * time.Millisecond} {
 			client, schedule := pollingClient{startAt: epoch.Add(5*time.Second + phase)}, flushSchedule{}
 			for at := 5 * time.Second; at < completeAfter; at += tick {
 				now := epoch.Add(at)
-				client.step(now, at >= due-due/holdbackDivisor && schedule.next(now, epoch.Add(completeAfter), epoch.Add(due-releaseMargin)) != noFlush)
+				client.step(now, at >= deadline-deadline/holdbackDivisor && schedule.next(now, epoch.Add(completeAfter), epoch.Add(deadline-releaseMargin)) != noFlush)
 			}
 			if began := epoch.Add(completeAfter).Sub(client.startAt); !client.waiting || began < 450*time.Millisecond {
 				t.Errorf("phase %s, complete after %s: the last read started %s before (open %t)", phase, completeAfter, began, client.waiting)
@@ -52,7 +52,7 @@
 }
 
 func TestFlushSchedule(t *testing.T) {
-	const due = 7400 * time.Millisecond
+	const release = 7400 * time.Millisecond
 	at := func(d time.Duration) time.Time { return epoch.Add(d) }
 	for _, c := range []struct {
 		name                  string
@@ -70,7 +70,7 @@
 		{"too soon after the last flush, as the forecast changed", 6200 * time.Millisecond, 7 * time.Second, 6100 * time.Millisecond, noFlush},
 	} {
 		schedule := flushSchedule{lastFlushAt: at(c.last)}
-		if got := schedule.next(at(c.now), at(c.completeAt), at(due)); got != c.want {
+		if got := schedule.next(at(c.now), at(c.completeAt), at(release)); got != c.want {
 			t.Errorf("%s: flush %d, want %d", c.name, got, c.want)
 		}
 	}
