--- a/internal/version/batch/batch_test.go
+++ b/internal/version/batch/batch_test.go
@@ -26,8 +26,8 @@
 	if len(got) != 3 || !got[0].Completed || got[0].Message != "j-0#1\nj-0#2\nj-0#3\nj-0#4" || got[0].Versions[0] != 2 {
 		t.Errorf("%v", got)
 	}
-	if state, ok := n.jobs.Lookup("j"); !ok || state.Listed != 3 || n.jobs.Owned() != 0 {
-		t.Errorf("%+v, %d owned", state, n.jobs.Owned())
+	if state, ok := n.jobs.Lookup("j"); !ok || state.Listed != 3 || n.jobs.OwnedCount() != 0 {
+		t.Errorf("%+v, %d owned", state, n.jobs.OwnedCount())
 	}
 }
 
@@ -189,6 +189,7 @@
 	}
 }
 
+// A new owner must not resume a text from checkpoints of both a discarded text and its replacement.
 func TestTextsOfTwoBeginningsDoNotMix(t *testing.T) {
 	store := newStore()
 	owner, other := newTestNode("a", store), newTestNode("b", store)
@@ -286,13 +287,13 @@
 	other.now = owner.now
 	syncHeads(other)
 	other.elapse(3 * time.Second)
-	kept := 0
+	resumed := 0
 	for _, run := range other.takeRuns() {
 		if run.After > 0 {
-			kept++
+			resumed++
 		}
 	}
-	if kept != items {
-		t.Errorf("the next owner resumes %d texts of %d", kept, items)
+	if resumed != items {
+		t.Errorf("the next owner resumes %d texts of %d", resumed, items)
 	}
 }
--- a/internal/version/batch/owner_test.go
+++ b/internal/version/batch/owner_test.go
@@ -62,13 +62,14 @@
 			syncHeads(other)
 			other.jobs.SetObserving(other.now, c.observes)
 			other.elapse(c.within)
-			if got := other.jobs.Owned() == 1; got != c.takes {
+			if got := other.jobs.OwnedCount() == 1; got != c.takes {
 				t.Errorf("taken %t, want %t", got, c.takes)
 			}
 		})
 	}
 }
 
+// Texts of an owner that stops must be resumed, including the events since the last checkpoint.
 func TestTextsAreHandedOver(t *testing.T) {
 	store := newStore()
 	owner, other := newTestNode("a", store), newTestNode("b", store)
@@ -85,6 +86,7 @@
 	}
 }
 
+// Texts of a failed owner must be resumed from their checkpoints.
 func TestTextsOutliveTheirOwner(t *testing.T) {
 	store := newStore()
 	owner, other := newTestNode("a", store), newTestNode("b", store)
@@ -122,7 +124,7 @@
 		owner.finish(run, task.RunCompleted, 2, 5)
 	}
 	owner.elapse(200 * time.Millisecond)
-	if got := owner.results(t, "j"); len(got) != 1 || got[0].Message != "j-0#1\nj-0#2" || owner.jobs.Owned() != 0 {
+	if got := owner.results(t, "j"); len(got) != 1 || got[0].Message != "j-0#1\nj-0#2" || owner.jobs.OwnedCount() != 0 {
 		t.Errorf("results %v, want the one listed by the new owner", got)
 	}
 }
@@ -130,8 +132,8 @@
 // TestTakersSpreadByTheirNumber tests that the number of nodes that attempt a takeover, before
 // they can observe the first one, does not exceed the write rate of a partition.
 func TestTakersSpreadByTheirNumber(t *testing.T) {
-	const heardWithin, partWrites = time.Second / 3, 200
-	for _, c := range []struct{ nodes, most int }{{10, 10}, {100, 40}, {986, partWrites}, {1972, partWrites}} {
+	const watchDelay, partitionWrites = time.Second / 3, 200
+	for _, c := range []struct{ nodes, maxTries int }{{10, 10}, {100, 40}, {986, partitionWrites}, {1972, partitionWrites}} {
 		var spreads []time.Duration
 		for i := range c.nodes {
 			j := newTestNode(fmt.Sprintf("node-%d", i), newStore()).jobs
@@ -140,11 +142,11 @@
 		}
 		first, tries := slices.Min(spreads), 0
 		for _, each := range spreads {
-			if each <= first+heardWithin {
+			if each <= first+watchDelay {
 				tries++
 			}
 		}
-		if tries > c.most || first > takeoverSpread {
+		if tries > c.maxTries || first > takeoverSpread {
 			t.Errorf("%d of %d nodes attempt a takeover, the first after %s", tries, c.nodes, first)
 		}
 	}
@@ -175,8 +177,8 @@
 		n := newTestNode("b", newStore())
 		c.begin(n)
 		n.elapse(time.Second)
-		if head := n.jobs.heads["j"]; head == nil || head.Owner != "" || n.jobs.Owned() != 0 {
-			t.Errorf("%s: head record %v, %d jobs owned", c.name, head, n.jobs.Owned())
+		if head := n.jobs.heads["j"]; head == nil || head.Owner != "" || n.jobs.OwnedCount() != 0 {
+			t.Errorf("%s: head record %v, %d jobs owned", c.name, head, n.jobs.OwnedCount())
 		}
 		if runs := n.takeRuns(); len(runs) > 0 {
 			t.Errorf("%s: %d runs started", c.name, len(runs))
