--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// RecordRead records results that were read from a position on.
+// RecordRead records results that were read starting at a position.
 func (c *Checker) RecordRead(job string, from int, reading platformtest.ResultsPage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -32,9 +32,9 @@
 // TestCheckerReportsViolations tests the checker with histories that satisfy and violate each guarantee.
 func TestCheckerReportsViolations(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		broken string
-		play   func(c *Checker)
+		name          string
+		wantViolation string
+		observe       func(c *Checker)
 	}{
 		{"valid response", "", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.SignedResponse(200, "b")) }},
 		{"response to another request", "want \"b\"", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.SignedResponse(200, "a")) }},
@@ -141,10 +141,10 @@
 		}},
 	} {
 		checker := NewChecker()
-		c.play(checker)
+		c.observe(checker)
 		seen := strings.Join(checker.Violations(), "; ")
-		if c.broken == "" && seen != "" || c.broken != "" && !strings.Contains(seen, c.broken) {
-			t.Errorf("%s: got violations %q, want %q", c.name, seen, c.broken)
+		if c.wantViolation == "" && seen != "" || c.wantViolation != "" && !strings.Contains(seen, c.wantViolation) {
+			t.Errorf("%s: got violations %q, want %q", c.name, seen, c.wantViolation)
 		}
 	}
 }
--- a/internal/soak/cold_test.go
+++ b/internal/soak/cold_test.go
@@ -13,7 +13,7 @@
 		name            string
 		cold, disrupted bool
 		requests        int
-		broken          string
+		wantViolation   string
 	}{
 		{"more than the limit", true, false, maxColdRequests + 1, "while it was cold"},
 		{"exactly the limit", true, false, maxColdRequests, ""},
@@ -38,8 +38,8 @@
 			checker.RecordColdArrival(replica)
 		}
 		seen := strings.Join(checker.Violations(), "; ")
-		if c.broken == "" && seen != "" || c.broken != "" && !strings.Contains(seen, c.broken) {
-			t.Errorf("%s: got violations %q, want %q", c.name, seen, c.broken)
+		if c.wantViolation == "" && seen != "" || c.wantViolation != "" && !strings.Contains(seen, c.wantViolation) {
+			t.Errorf("%s: got violations %q, want %q", c.name, seen, c.wantViolation)
 		}
 	}
 }
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -75,7 +75,7 @@
 		switch random.IntN(4) {
 		case 0:
 			s.checker.MarkNonIdempotent(id)
-			s.sendPlain(ctx, n, homeBoundPath, id)
+			s.sendPlain(ctx, n, restrictedPath, id)
 		case 1:
 			answer := s.send(ctx, n, http.MethodPost, "/stream/x", id, nil)
 			if answer.Err == nil && answer.Status == http.StatusOK {
@@ -104,8 +104,8 @@
 // sendPlainWith is sendPlain with a given client. A connection that is closed before the response is a
 // violation if the node was shutting down gracefully and was not affected by faults.
 func (s *Soak) sendPlainWith(ctx context.Context, client platformtest.Client, n *node, path, id string) {
-	if path == homeBoundPath {
-		s.homes.add(id)
+	if path == restrictedPath {
+		s.restricted.add(id)
 	}
 	undisturbed := s.undisturbedFor() > minUndisturbed
 	body := "body of " + id
--- a/internal/soak/persistent.go
+++ b/internal/soak/persistent.go
@@ -23,7 +23,7 @@
 		n := s.randomNode(random)
 		if random.IntN(4) == 0 {
 			s.checker.MarkNonIdempotent(id)
-			s.sendPlainWith(ctx, clients[n], n, homeBoundPath, id)
+			s.sendPlainWith(ctx, clients[n], n, restrictedPath, id)
 		} else {
 			s.sendPlainWith(ctx, clients[n], n, "/plain/x", id)
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -46,7 +46,7 @@
 	Logf func(format string, values ...any)
 
 	checker    *Checker
-	homes      homes
+	restricted restrictedRequests
 	regionLink interRegionLink
 	store      *platformtest.Store
 	server     *http.Server
@@ -186,7 +186,7 @@
 const (
 	// tenant is the tenant of all clients, permanentKey the API key that all configurations contain.
 	tenant       = "houses"
-	permanentKey = "lasting-key"
+	permanentKey = "permanent-key"
 )
 
 // generationKey returns the API key that only one version of the configuration contains.
@@ -196,7 +196,7 @@
 // the version.
 func (s *Soak) writeConfiguration() int64 {
 	version := s.configVersion.Load() + 1
-	s.store.Put("op", "config", platformtest.WithTenants(withHomes(withColdLimits(platformtest.ProbeConfiguration(int(version)))), platformtest.Tenant{
+	s.store.Put("op", "config", platformtest.WithTenants(withAllowedRegion(withColdLimits(platformtest.ProbeConfiguration(int(version)))), platformtest.Tenant{
 		Name: tenant, Keys: []string{permanentKey, generationKey(version)},
 	}))
 	s.configVersion.Store(version)
@@ -227,7 +227,7 @@
 		CrashOn: crashBody(service), OnCrash: func(string) { s.onCrash(id) },
 		ColdFor: s.coldDurationAtStart(), OnArrival: func(string) { s.checker.RecordColdArrival(cold) },
 		OnRun: func(request string) {
-			if violation := s.homes.checkRegion(id, zone, request); violation != "" {
+			if violation := s.restricted.checkRegion(id, zone, request); violation != "" {
 				s.checker.AddViolation("%s", violation)
 			}
 			s.checker.RecordRun(id, request)
