--- a/internal/command/operator/explain.go
+++ b/internal/command/operator/explain.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// describeCause summarizes the outcome of an ID in line line.
+// describeCause summarizes the outcome of an ID in one line.
 func describeCause(timeline []*logLine, id string) string {
 	var own []*logLine
 	for _, line := range timeline {
@@ -235,7 +235,7 @@
 			return fmt.Sprintf("the item was given up: %s, after %s failed runs and %s failed scoring calls%s",
 				line.text("reason"), line.text("failures"), line.text("scoring_failures"), scoringCause(own))
 		case event.ItemCompleted:
-			return fmt.Sprintf("the item was completed at replica %s, %s ms after its first run, in %s runs with %s interruptions and %s moves; %s us an event%s",
+			return fmt.Sprintf("the item was completed at replica %s, %s ms after its first run, in %s runs with %s interruptions and %s moves; %s µs per event%s",
 				line.text("replica"), line.text("since_ms"), line.text("runs"), line.text("interruptions"), line.text("moves"), line.text("pace_us"), scoringCause(own))
 		}
 	}
@@ -307,7 +307,7 @@
 		}
 	}
 	if version := versionAt(timeline, refused); version != "" {
-		cause += "; the node went by configuration " + version
+		cause += "; the node used configuration " + version
 	}
 	if lost := storeCause(timeline, refused); lost != "" {
 		cause += "; " + lost
--- a/internal/command/operator/explain_simulated_test.go
+++ b/internal/command/operator/explain_simulated_test.go
@@ -70,7 +70,7 @@
 		{"none", "item", event.ItemTerminated, "unscorable", "never scored: last, replica scorer-"},
 		{"scorer-fails", "item", event.ScoringRetried, "item", "in 2 attempts"},
 		{"replica-breaks", "item", event.ItemRetried, "item", "interruptions"},
-		{"replica-slow", "item", event.ItemCompleted, "item", "us an event"},
+		{"replica-slow", "item", event.ItemCompleted, "item", "µs per event"},
 		{"node-kill", "job", event.JobTaken, "job", "taken over 1 times"},
 	} {
 		t.Run(c.faults+" "+c.id, func(t *testing.T) {
--- a/internal/command/operator/rows.go
+++ b/internal/command/operator/rows.go
@@ -31,55 +31,55 @@
 }
 
 // rows returns the rows of a subject. Values are in the order of the subject's columns.
-func (g *queryReader) rows(subject string) [][]string {
+func (q *queryReader) rows(subject string) [][]string {
 	switch subject {
 	case "experiments":
-		return g.experiments()
+		return q.experiments()
 	case "policies":
-		return g.policies()
+		return q.policies()
 	case "versions":
-		return g.versions()
+		return q.versions()
 	case "replicas":
-		return g.replicas()
+		return q.replicas()
 	case "nodes":
-		return g.nodes()
+		return q.nodes()
 	case "jobs":
-		return g.jobs()
+		return q.jobs()
 	case "samples":
-		return g.samples()
+		return q.samples()
 	case "leases":
-		return g.leases()
+		return q.leases()
 	case "usage":
-		return g.usage()
+		return q.usage()
 	case "quarantine":
-		return g.quarantine()
+		return q.quarantine()
 	case "cold":
-		return g.cold()
+		return q.cold()
 	case "drains":
-		return g.drains()
+		return q.drains()
 	case "routes":
-		return g.routes()
+		return q.routes()
 	case "history":
-		return g.history()
+		return q.history()
 	}
 	return nil
 }
 
 // read returns the records of a partition, starting at a key. It retries until the context ends.
-func (g *queryReader) read(table, partition, from string) []port.Record {
+func (q *queryReader) read(table, partition, from string) []port.Record {
 	var records []port.Record
-	for g.err == nil {
-		result := g.client.store.Range(g.ctx, port.RecordRange{Table: table, Partition: partition, From: from})
+	for q.err == nil {
+		result := q.client.store.Range(q.ctx, port.RecordRange{Table: table, Partition: partition, From: from})
 		switch {
 		case result.Status == port.RecordDone:
-		case g.ctx.Err() != nil:
-			g.err = errStoreTimeout
+		case q.ctx.Err() != nil:
+			q.err = errStoreTimeout
 			return nil
 		default:
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		g.revision, g.clock = uint64(result.Revision), result.Clock
+		q.revision, q.clock = uint64(result.Revision), result.Clock
 		records = append(records, result.Records...)
 		if !result.More || len(result.Records) == 0 {
 			break
@@ -90,17 +90,17 @@
 }
 
 // decode decodes a record and sets err if it is invalid.
-func (g *queryReader) decode(record port.Record, into proto.Message) {
-	if err := proto.Unmarshal(record.Value, into); err != nil && g.err == nil {
-		g.err = fmt.Errorf("record %s/%s: %w", record.Table, record.Key, err)
+func (q *queryReader) decode(record port.Record, into proto.Message) {
+	if err := proto.Unmarshal(record.Value, into); err != nil && q.err == nil {
+		q.err = fmt.Errorf("record %s/%s: %w", record.Table, record.Key, err)
 	}
 }
 
-func (g *queryReader) deployment() port.DeploymentUpdate {
+func (q *queryReader) deployment() port.DeploymentUpdate {
 	var deployment port.DeploymentUpdate
-	for _, table := range g.client.decoder.DeploymentTables() {
-		part := g.client.decoder.DecodeDeployment(g.read(table, "", ""))
-		g.checkReadable(table, part)
+	for _, table := range q.client.decoder.DeploymentTables() {
+		part := q.client.decoder.DecodeDeployment(q.read(table, "", ""))
+		q.checkReadable(table, part)
 		if part.Routes != nil {
 			deployment.Routes = part.Routes
 		}
@@ -113,21 +113,21 @@
 
 // checkReadable sets err if a record could not be decoded. It ignores undecodable entries in the list of
 // replicas because other writers add entries there.
-func (g *queryReader) checkReadable(table string, part port.DeploymentUpdate) {
+func (q *queryReader) checkReadable(table string, part port.DeploymentUpdate) {
 	for _, record := range part.Unreadable {
 		replicaEntry := slices.ContainsFunc(part.Removed, func(gone port.RemovedReplica) bool { return gone.ID == record.Key })
-		if !replicaEntry && g.err == nil {
-			g.err = fmt.Errorf("record %s/%s: %s", table, record.Key, record.Reason)
+		if !replicaEntry && q.err == nil {
+			q.err = fmt.Errorf("record %s/%s: %s", table, record.Key, record.Reason)
 		}
 	}
 }
 
-func (g *queryReader) configuration() *doorstepv1.Configuration {
+func (q *queryReader) configuration() *doorstepv1.Configuration {
 	key := configuration.Key()
-	for _, record := range g.read(key.Table, key.Partition, key.Key) {
+	for _, record := range q.read(key.Table, key.Partition, key.Key) {
 		if record.Key == key.Key {
 			decoded := &doorstepv1.Configuration{}
-			g.decode(record, decoded)
+			q.decode(record, decoded)
 			return decoded
 		}
 	}
@@ -140,9 +140,9 @@
 
 func formatNumber[N int | int32 | int64 | uint32 | uint64](n N) string { return fmt.Sprint(n) }
 
-func (g *queryReader) experiments() [][]string {
+func (q *queryReader) experiments() [][]string {
 	var rows [][]string
-	for _, e := range g.configuration().Experiments {
+	for _, e := range q.configuration().Experiments {
 		rows = append(rows, []string{
 			e.Name, e.Policy, e.Service, experimentStateName(e.State), strings.Join(e.Trainers, ","), formatNumber(e.Samples), formatNumber(e.StalenessBound),
 			formatNumber(e.IdleWeight), formatNumber(e.Share), e.Prompts, formatNumber(e.MaxTokens), e.Scoring,
@@ -151,13 +151,13 @@
 	return rows
 }
 
-func (g *queryReader) policies() [][]string {
+func (q *queryReader) policies() [][]string {
 	newest := map[string]int64{}
-	for _, target := range g.deployment().Targets {
+	for _, target := range q.deployment().Targets {
 		newest[target.Model] = target.Version
 	}
 	var rows [][]string
-	for _, e := range g.configuration().Experiments {
+	for _, e := range q.configuration().Experiments {
 		rows = append(rows, []string{e.Policy, e.Name, formatNumber(newest[e.Policy]), experimentStateName(e.State)})
 		delete(newest, e.Policy)
 	}
@@ -167,13 +167,13 @@
 	return rows
 }
 
-func (g *queryReader) versions() [][]string {
+func (q *queryReader) versions() [][]string {
 	type loadedVersion struct {
 		policy  string
 		version int64
 	}
 	replicas := map[loadedVersion]int{}
-	for _, replica := range g.deployment().Replicas {
+	for _, replica := range q.deployment().Replicas {
 		for policy, version := range replica.Versions {
 			replicas[loadedVersion{policy, version}]++
 		}
@@ -187,11 +187,11 @@
 }
 
 // usage returns the usage reports, including those not yet accepted by the platform, by window and tenant.
-func (g *queryReader) usage() [][]string {
+func (q *queryReader) usage() [][]string {
 	var rows [][]string
-	for _, record := range g.read(usage.Table, usage.ReportPartition, "") {
+	for _, record := range q.read(usage.Table, usage.ReportPartition, "") {
 		report := &doorstepv1.UsageReport{}
-		g.decode(record, report)
+		q.decode(record, report)
 		for _, tenant := range slices.Sorted(maps.Keys(report.Requests)) {
 			rows = append(rows, []string{strings.TrimLeft(record.Key, "0"), tenant, strconv.FormatInt(report.Requests[tenant], 10), strconv.FormatBool(report.Accepted)})
 		}
@@ -199,8 +199,8 @@
 	return rows
 }
 
-func (g *queryReader) routes() [][]string {
-	table := g.deployment().Routes
+func (q *queryReader) routes() [][]string {
+	table := q.deployment().Routes
 	if table == nil {
 		return nil
 	}
@@ -218,14 +218,14 @@
 	return rows
 }
 
-func (g *queryReader) history() [][]string {
+func (q *queryReader) history() [][]string {
 	var rows [][]string
-	for _, record := range g.read(configuration.HistoryTable, configuration.Partition, configuration.RevisionPrefix) {
+	for _, record := range q.read(configuration.HistoryTable, configuration.Partition, configuration.RevisionPrefix) {
 		if !strings.HasPrefix(record.Key, configuration.RevisionPrefix) {
 			break
 		}
 		change := &doorstepv1.Change{}
-		g.decode(record, change)
+		q.decode(record, change)
 		at := time.UnixMilli(change.UnixMilliseconds).UTC().Format(time.RFC3339)
 		rows = append(rows, []string{formatNumber(change.ToRevision), formatNumber(change.FromRevision), change.Operator, at, change.Token, change.Statement})
 	}
--- a/internal/command/operator/rows_fleet.go
+++ b/internal/command/operator/rows_fleet.go
@@ -20,8 +20,8 @@
 // statusTimeout is the age at which a node's status is stale. Nodes write their status every 20 s.
 const statusTimeout = 50 * time.Second
 
-func (g *queryReader) replicas() [][]string {
-	config, deployment := g.configuration(), g.deployment()
+func (q *queryReader) replicas() [][]string {
+	config, deployment := q.configuration(), q.deployment()
 	evacuated := map[string]bool{}
 	for _, evacuation := range deployment.Evacuations {
 		evacuated[evacuation.Zone] = !evacuation.Lifted
@@ -51,13 +51,13 @@
 	return rows
 }
 
-func (g *queryReader) nodes() [][]string {
-	config := g.configuration()
+func (q *queryReader) nodes() [][]string {
+	config := q.configuration()
 	var rows [][]string
-	for _, record := range g.read(cluster.StatusTable, cluster.StatusTable, "") {
+	for _, record := range q.read(cluster.StatusTable, cluster.StatusTable, "") {
 		status := &doorstepv1.NodeStatus{}
-		g.decode(record, status)
-		age := g.clock - time.Duration(status.AtMs)*time.Millisecond
+		q.decode(record, status)
+		age := q.clock - time.Duration(status.AtMs)*time.Millisecond
 		state := "not ready"
 		switch {
 		case age > statusTimeout:
@@ -79,14 +79,14 @@
 	return strconv.FormatFloat(max(d, 0).Seconds(), 'f', 1, 64)
 }
 
-func (g *queryReader) leases() [][]string {
+func (q *queryReader) leases() [][]string {
 	var rows [][]string
-	for _, record := range g.read(port.SharedTable, cluster.LeasePartition, "") {
+	for _, record := range q.read(port.SharedTable, cluster.LeasePartition, "") {
 		if record.Key == cluster.UsageClockKey {
 			continue
 		}
 		lease := &doorstepv1.OrderLease{}
-		g.decode(record, lease)
+		q.decode(record, lease)
 		rows = append(rows, []string{record.Key, lease.Holder, strconv.FormatBool(lease.Ordering)})
 	}
 	return rows
@@ -95,10 +95,10 @@
 // quarantineStates are the displayed names of quarantine states.
 var quarantineStates = map[quarantine.State]string{quarantine.Allowed: "suspected", quarantine.Held: "held", quarantine.OnTrial: "on trial"}
 
-func (g *queryReader) quarantine() [][]string {
-	records := g.read(port.SharedTable, quarantine.Partition, "")
-	known := quarantine.New(quarantine.Options{Queue: &task.Queue{}, StoreClock: func(time.Time) time.Duration { return g.clock }})
-	known.Lift(time.Time{}, configuration.QuarantineLifts(g.configuration()))
+func (q *queryReader) quarantine() [][]string {
+	records := q.read(port.SharedTable, quarantine.Partition, "")
+	known := quarantine.New(quarantine.Options{Queue: &task.Queue{}, StoreClock: func(time.Time) time.Duration { return q.clock }})
+	known.Lift(time.Time{}, configuration.QuarantineLifts(q.configuration()))
 	for _, record := range records {
 		known.OnRecord(record)
 	}
@@ -106,7 +106,7 @@
 	for _, report := range known.Reports(time.Time{}) {
 		rows = append(rows, []string{
 			report.Request, report.Route, report.Tenant, formatNumber(report.Crashes), formatNumber(report.Trials), quarantineStates[report.Decision.State],
-			formatNumber(int(report.Decision.Remaining.Seconds())), formatNumber(int((g.clock - report.Last).Seconds())),
+			formatNumber(int(report.Decision.Remaining.Seconds())), formatNumber(int((q.clock - report.Last).Seconds())),
 		})
 	}
 	return rows
@@ -114,20 +114,20 @@
 
 // cold returns the request windows of cold replicas with the node that sent last, the number of requests sent
 // by all nodes, and the remaining seconds, which are negative if the window is over.
-func (g *queryReader) cold() [][]string {
+func (q *queryReader) cold() [][]string {
 	var rows [][]string
-	for _, record := range g.read(coldstart.Table, coldstart.Table, "") {
+	for _, record := range q.read(coldstart.Table, coldstart.Table, "") {
 		window := &doorstepv1.ColdWindow{}
-		g.decode(record, window)
-		left := time.Duration(window.UntilMs)*time.Millisecond - g.clock
+		q.decode(record, window)
+		left := time.Duration(window.UntilMs)*time.Millisecond - q.clock
 		rows = append(rows, []string{record.Key, window.Service, window.Node, formatNumber(window.Taken), strconv.FormatFloat(left.Seconds(), 'f', 1, 64)})
 	}
 	return rows
 }
 
-func (g *queryReader) drains() [][]string {
+func (q *queryReader) drains() [][]string {
 	var rows [][]string
-	for _, drain := range g.configuration().Drains {
+	for _, drain := range q.configuration().Drains {
 		rows = append(rows, []string{strings.ToLower(strings.TrimPrefix(drain.Kind.String(), "DRAIN_KIND_")), drain.Name})
 	}
 	return rows
--- a/internal/command/operator/rows_jobs.go
+++ b/internal/command/operator/rows_jobs.go
@@ -12,12 +12,12 @@
 )
 
 // heads returns the head records of all jobs by job ID.
-func (g *queryReader) heads() map[string]*doorstepv1.BatchJobHead {
+func (q *queryReader) heads() map[string]*doorstepv1.BatchJobHead {
 	heads := map[string]*doorstepv1.BatchJobHead{}
 	for n := range batch.Partitions {
-		for _, record := range g.read(port.SharedTable, batch.PartitionName(n), "") {
+		for _, record := range q.read(port.SharedTable, batch.PartitionName(n), "") {
 			head := &doorstepv1.BatchJobHead{}
-			g.decode(record, head)
+			q.decode(record, head)
 			heads[record.Key] = head
 		}
 	}
@@ -36,24 +36,24 @@
 	return "running"
 }
 
-func (g *queryReader) jobs() [][]string {
-	heads := g.heads()
+func (q *queryReader) jobs() [][]string {
+	heads := q.heads()
 	var rows [][]string
 	for _, id := range slices.Sorted(maps.Keys(heads)) {
 		head := heads[id]
-		age := g.clock - time.Duration(head.AcceptedAtMs)*time.Millisecond
+		age := q.clock - time.Duration(head.AcceptedAtMs)*time.Millisecond
 		rows = append(rows, []string{id, head.Model, head.Owner, formatNumber(head.Listed), formatNumber(head.Total), jobState(head), formatSeconds(age)})
 	}
 	return rows
 }
 
-func (g *queryReader) samples() [][]string {
-	heads := g.heads()
+func (q *queryReader) samples() [][]string {
+	heads := q.heads()
 	var rows [][]string
-	for _, e := range g.configuration().Experiments {
-		for _, record := range g.read(experiment.ProgressTable, e.Name, "") {
+	for _, e := range q.configuration().Experiments {
+		for _, record := range q.read(experiment.ProgressTable, e.Name, "") {
 			progress := &doorstepv1.TrainerProgress{}
-			g.decode(record, progress)
+			q.decode(record, progress)
 			rows = append(rows, sampleRow(e.Name, record.Key, progress, heads))
 		}
 	}
--- a/internal/command/operator/rows_test.go
+++ b/internal/command/operator/rows_test.go
@@ -64,10 +64,10 @@
 		"replicas":       {replica("drained", "a"), replica("evacuated", "a"), replica("leaving", "a"), replica("ready", "b")},
 		port.SharedTable: {{RecordKey: configuration.Key(), Value: config}},
 	}
-	g := &queryReader{client: &client{store: store, decoder: evacuationDecoder{}}, ctx: context.Background()}
-	rows := g.rows("replicas")
-	if g.err != nil || len(rows) != 4 {
-		t.Fatalf("%v %v", rows, g.err)
+	q := &queryReader{client: &client{store: store, decoder: evacuationDecoder{}}, ctx: context.Background()}
+	rows := q.rows("replicas")
+	if q.err != nil || len(rows) != 4 {
+		t.Fatalf("%v %v", rows, q.err)
 	}
 	for _, row := range rows {
 		if id, state := row[0], row[len(row)-1]; id != state {
--- a/internal/command/operator/steps.go
+++ b/internal/command/operator/steps.go
@@ -198,7 +198,7 @@
 		text += fmt.Sprintf(", %s in runs that ended early", formatDuration(time.Duration((item.lastFailureMs-item.startMs)*float64(time.Millisecond))))
 		lastRun = item.lastFailureMs
 	}
-	return text + fmt.Sprintf(", %s for its last %d of %d events at %s (%.0f ms an event)",
+	return text + fmt.Sprintf(", %s for its last %d of %d events at %s (%.0f ms per event)",
 		formatDuration(time.Duration((item.completedMs-lastRun)*float64(time.Millisecond))), item.lastRunEvents, item.events, item.replica, item.paceMs)
 }
 
--- a/internal/command/operator/steps_test.go
+++ b/internal/command/operator/steps_test.go
@@ -25,7 +25,7 @@
 		want []string
 	}{
 		{"step with its last item", 0, []string{
-			"2 of 2", "1.60 s", "8.00 s", "8.50 s", "b: waited 1.60 s, 1.00 s in runs that ended early, 5.40 s for its last 68 of 70 events at r2 (79 ms an event)",
+			"2 of 2", "1.60 s", "8.00 s", "8.50 s", "b: waited 1.60 s, 1.00 s in runs that ended early, 5.40 s for its last 68 of 70 events at r2 (79 ms per event)",
 		}},
 		{"step below the threshold", 9 * time.Second, nil},
 	} {
