--- a/internal/standin/model/generator.go
+++ b/internal/standin/model/generator.go
@@ -16,7 +16,7 @@
 	ID string
 	// StartedAt is when this incarnation started, zero if the replica does not report it.
 	StartedAt time.Time
-	// Slots is the number of concurrent runs, Pace the time between two events of a run, LoadFor the duration of
+	// Slots is the number of concurrent runs, Pace the time between two events of a run, LoadDuration the duration of
 	// a version load.
 	Slots        int
 	Pace         time.Duration
--- a/internal/standin/model/records.go
+++ b/internal/standin/model/records.go
@@ -13,7 +13,8 @@
 
 // Limits of the platform's record store.
 const (
-	// MaxRecordBytes is the maximum size of a value. TransactionEntries and TransactionBytes limit a transaction.
+	// MaxRecordBytes is the maximum size of a value. MaxTransactionEntries and
+	// MaxTransactionBytes limit a transaction.
 	MaxRecordBytes        = 65536
 	MaxTransactionEntries = 100
 	MaxTransactionBytes   = 1 << 20
