--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -68,7 +68,7 @@
 	StoreLosing   StoreKind = "losing"
 	StoreLate     StoreKind = "late"
 	StoreSlow     StoreKind = "slow"
-	StoreForget   StoreKind = "forget"
+	StoreCompacts StoreKind = "forget"
 	StoreHush     StoreKind = "hush"
 )
 
@@ -119,7 +119,7 @@
 
 // Draw returns a random fault.
 func Draw(random *rand.Rand) Fault {
-	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreForget, StoreHush}
+	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreCompacts, StoreHush}
 	replicas := []ReplicaKind{ReplicaBreaks, ReplicaFails, ReplicaFull, ReplicaDrains, ReplicaCrashes, ReplicaLoses, ReplicaDoubles, ReplicaSlow}
 	switch random.IntN(15) {
 	case 12:
@@ -286,7 +286,7 @@
 
 func (s *Soak) applyStoreFault(fault StoreFault) {
 	switch fault.Kind {
-	case StoreForget:
+	case StoreCompacts:
 		s.store.Records.CompactHistory()
 		return
 	case StoreHush:
@@ -309,7 +309,7 @@
 		flag = &s.store.Unavailable
 	case StoreLosing:
 		flag = &s.store.DropResponses
-	case StoreLate, StoreForget, StoreHush, StoreSlow:
+	case StoreLate, StoreCompacts, StoreHush, StoreSlow:
 	}
 	flag.Store(true)
 	time.Sleep(fault.Duration)
