--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -63,13 +63,13 @@
 
 // Kinds of store faults.
 const (
-	StoreSilent   StoreKind = "silent"
-	StoreRefusing StoreKind = "refusing"
-	StoreLosing   StoreKind = "losing"
-	StoreLate     StoreKind = "late"
-	StoreSlow     StoreKind = "slow"
-	StoreCompacts StoreKind = "forget"
-	StoreHush     StoreKind = "hush"
+	StoreSilent       StoreKind = "silent"
+	StoreRefusing     StoreKind = "refusing"
+	StoreLosing       StoreKind = "losing"
+	StoreLate         StoreKind = "late"
+	StoreSlow         StoreKind = "slow"
+	StoreCompacts     StoreKind = "forget"
+	StoreMutesWatches StoreKind = "hush"
 )
 
 // ReplicaKind is a kind of replica fault.
@@ -119,7 +119,7 @@
 
 // Draw returns a random fault.
 func Draw(random *rand.Rand) Fault {
-	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreCompacts, StoreHush}
+	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreCompacts, StoreMutesWatches}
 	replicas := []ReplicaKind{ReplicaBreaks, ReplicaFails, ReplicaFull, ReplicaDrains, ReplicaCrashes, ReplicaLoses, ReplicaDoubles, ReplicaSlow}
 	switch random.IntN(15) {
 	case 12:
@@ -289,7 +289,7 @@
 	case StoreCompacts:
 		s.store.Records.CompactHistory()
 		return
-	case StoreHush:
+	case StoreMutesWatches:
 		s.store.Records.MuteWatches(time.Now().Add(time.Second))
 		time.Sleep(time.Second)
 		s.store.Records.CompactHistory()
@@ -309,7 +309,7 @@
 		flag = &s.store.Unavailable
 	case StoreLosing:
 		flag = &s.store.DropResponses
-	case StoreLate, StoreCompacts, StoreHush, StoreSlow:
+	case StoreLate, StoreCompacts, StoreMutesWatches, StoreSlow:
 	}
 	flag.Store(true)
 	time.Sleep(fault.Duration)
