--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -117,8 +117,8 @@
 	return link
 }
 
-// Draw returns a random fault.
-func Draw(random *rand.Rand) Fault {
+// RandomFault returns a random fault.
+func RandomFault(random *rand.Rand) Fault {
 	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreCompacts, StoreMutesWatches}
 	replicas := []ReplicaKind{ReplicaBreaks, ReplicaFails, ReplicaFull, ReplicaDrains, ReplicaCrashes, ReplicaLoses, ReplicaDoubles, ReplicaSlow}
 	switch random.IntN(15) {
@@ -176,7 +176,7 @@
 		done := make(chan struct{}, maxConcurrentFaults)
 		round := 1 + random.IntN(maxConcurrentFaults)
 		for range round {
-			fault := Draw(random)
+			fault := RandomFault(random)
 			counts[fmt.Sprintf("%T", fault)]++
 			victim := random.IntN(1 << 20)
 			s.Logf("%6.2f s  fault %T %+v", time.Since(s.startedAt).Seconds(), fault, fault)
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -94,7 +94,7 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		var list []Fault
 		for range 200 {
-			list = append(list, Draw(random))
+			list = append(list, RandomFault(random))
 		}
 		return list
 	}
