--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -160,8 +160,8 @@
 	c.nonIdempotent[id] = true
 }
 
-// RecordAnswer records the response to a plain request and the expected body.
-func (c *Checker) RecordAnswer(id, want string, answer platformtest.Response) {
+// RecordResponse records the response to a plain request and the expected body.
+func (c *Checker) RecordResponse(id, want string, answer platformtest.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.Err != nil {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -36,25 +36,25 @@
 		wantViolation string
 		observe       func(c *Checker)
 	}{
-		{"valid response", "", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.SignedResponse(200, "b")) }},
-		{"response to another request", "want \"b\"", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.SignedResponse(200, "a")) }},
-		{"unsigned response", "signed false", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.Response{Status: 200, Body: []byte("b")}) }},
+		{"valid response", "", func(c *Checker) { c.RecordResponse("r", "b", platformtest.SignedResponse(200, "b")) }},
+		{"response to another request", "want \"b\"", func(c *Checker) { c.RecordResponse("r", "b", platformtest.SignedResponse(200, "a")) }},
+		{"unsigned response", "signed false", func(c *Checker) { c.RecordResponse("r", "b", platformtest.Response{Status: 200, Body: []byte("b")}) }},
 		{"idempotent request runs twice", "", func(c *Checker) { c.RecordRun("x", "r"); c.RecordRun("y", "r") }},
 		{"non-idempotent request runs twice", "ran 2 times", func(c *Checker) { c.MarkNonIdempotent("r"); c.RecordRun("x", "r"); c.RecordRun("y", "r") }},
 		{"refused after running", "ran but was refused with status 503", func(c *Checker) {
 			c.MarkNonIdempotent("r")
 			c.RecordRun("x", "r")
-			c.RecordAnswer("r", "b", platformtest.SignedResponse(503, ""))
+			c.RecordResponse("r", "b", platformtest.SignedResponse(503, ""))
 		}},
 		{"runs after being refused", "after it was refused with status 429", func(c *Checker) {
 			c.MarkNonIdempotent("r")
-			c.RecordAnswer("r", "b", platformtest.SignedResponse(429, ""))
+			c.RecordResponse("r", "b", platformtest.SignedResponse(429, ""))
 			c.RecordRun("x", "r")
 		}},
 		{"502 does not guarantee that the request did not run", "", func(c *Checker) {
 			c.MarkNonIdempotent("r")
 			c.RecordRun("x", "r")
-			c.RecordAnswer("r", "b", platformtest.SignedResponse(502, ""))
+			c.RecordResponse("r", "b", platformtest.SignedResponse(502, ""))
 		}},
 		{"valid job", "", func(c *Checker) {
 			c.RecordAccepted(job, acceptedAt)
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -113,7 +113,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	s.checker.RecordAnswer(id, fmt.Sprintf("POST %s %s", path, body), answer)
+	s.checker.RecordResponse(id, fmt.Sprintf("POST %s %s", path, body), answer)
 	if answer.Err != nil && undisturbed && s.undisturbedFor() > minUndisturbed && n.stopping.Load() && s.checker.HasRun(id) {
 		s.checker.AddViolation("request %s was interrupted by the graceful shutdown of %s: %s", id, n.name, answer.Err)
 	}
