--- a/internal/simulation/clustersim/check.go
+++ b/internal/simulation/clustersim/check.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// checkResults checks results read from a position on.
+// checkResults checks results that were read starting at a position.
 func (c *checker) checkResults(w *World, record *jobRecord, from int, results []*doorstepv1.BatchResult) {
 	c.readCount++
 	for i, result := range results {
--- a/internal/simulation/clustersim/check_cold.go
+++ b/internal/simulation/clustersim/check_cold.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// coldLasts is how long a replica is cold after its start, coldPerSecond its capacity meanwhile.
-	coldLasts     = 4 * time.Second
+	// coldDuration is how long a replica is cold after its start, coldPerSecond its capacity meanwhile.
+	coldDuration  = 4 * time.Second
 	coldPerSecond = 9
 )
 
@@ -35,7 +35,7 @@
 func (w *World) coldStart() *port.ColdStart {
 	for _, fault := range w.options.Faults {
 		if slices.Contains(coldFaults, fault.Name) {
-			return &port.ColdStart{Lasts: coldLasts, PerSecond: coldPerSecond}
+			return &port.ColdStart{Lasts: coldDuration, PerSecond: coldPerSecond}
 		}
 	}
 	return nil
@@ -44,7 +44,7 @@
 // turnCold makes a replica cold. Its record shows this from the next heartbeat on.
 func (r *replica) turnCold() {
 	if r.world.coldStart() != nil {
-		r.cold.until = r.world.Now.Add(coldLasts)
+		r.cold.until = r.world.Now.Add(coldDuration)
 	}
 }
 
--- a/internal/simulation/clustersim/clustersim_test.go
+++ b/internal/simulation/clustersim/clustersim_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestBystandersOfPoisonItems tests that items that share replicas with a request that crashes them are
-// not quarantined in numbers. Owners do not know of one another's runs, so that a few may be.
+// TestBystandersOfPoisonItems tests that at most two requests are quarantined if one item crashes replicas.
+// Owners do not know of one another's runs, so an item that shares a replica with it may be as well.
 func TestBystandersOfPoisonItems(t *testing.T) {
 	faults, err := ParseFaults("item-poison")
 	if err != nil {
--- a/internal/simulation/clustersim/fault.go
+++ b/internal/simulation/clustersim/fault.go
@@ -18,11 +18,11 @@
 
 // Faults lists all kinds of faults.
 var Faults = []Fault{
-	{"store-silent", "the record store does not respond", 15 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.store.silent) }},
-	{"store-refusing", "the record store rejects most calls", 15 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.store.refusing) }},
-	{"store-slow", "each way to the record store takes up to 1.2 s", 15 * time.Second, 5 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.store.slow) }},
-	{"store-loses", "a third of the writes get no answer, and some of these take effect seconds later", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.store.losing) }},
-	{"store-partly", "a third of the messages to and from the record store are lost", 15 * time.Second, 5 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.store.partial) }},
+	{"store-silent", "the record store does not respond", 15 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.store.silent) }},
+	{"store-refusing", "the record store rejects most calls", 15 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.store.refusing) }},
+	{"store-slow", "each way to the record store takes up to 1.2 s", 15 * time.Second, 5 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.store.slow) }},
+	{"store-loses", "a third of the writes get no answer, and some of these take effect seconds later", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.store.losing) }},
+	{"store-partly", "a third of the messages to and from the record store are lost", 15 * time.Second, 5 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.store.partial) }},
 	{"store-forgets", "watches return no changes for up to a second, then the change history is lost", 10 * time.Second, time.Second, dropWatchHistory},
 	{"node-kill", "a node is killed and restarts without state", 6 * time.Second, 4 * time.Second, killNode},
 	{"kill-all", "all nodes are killed at the same time", 25 * time.Second, 2 * time.Second, killAll},
@@ -31,24 +31,24 @@
 	{"holder-freeze", "the holder of the order lease is suspended and resumed", 12 * time.Second, 6 * time.Second, freezeHolder},
 	{"planned-stop", "a node shuts down as planned and restarts", 8 * time.Second, time.Second, func(w *World, _ time.Duration) { w.randomNode().stop() }},
 	{"replica-crash", "a replica crashes and another one takes its address", 8 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.randomReplica().crash(duration) }},
-	{"item-poison", "each job of one model contains the same item that crashes the replicas that run it", 12 * time.Second, 10 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.operator.poison) }},
-	{"replica-dark", "a replica does not respond", 10 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.randomReplica().unresponsive) }},
+	{"item-poison", "each job of one model contains the same item that crashes the replicas that run it", 12 * time.Second, 10 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.operator.poison) }},
+	{"replica-dark", "a replica does not respond", 10 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.randomReplica().unresponsive) }},
 	{"replica-slow", "a replica is two to four times as slow", 10 * time.Second, 6 * time.Second, slowReplica},
-	{"replica-breaks", "a replica interrupts its streams", 10 * time.Second, 5 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.randomReplica().interrupting) }},
+	{"replica-breaks", "a replica interrupts its streams", 10 * time.Second, 5 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.randomReplica().interrupting) }},
 	{"replica-drains", "a replica drains and exits", 9 * time.Second, time.Second, func(w *World, _ time.Duration) { w.randomReplica().drain() }},
 	{"homes-change", "the route of one model is restricted to a set of regions", 12 * time.Second, 10 * time.Second, changeAllowedRegions},
-	{"orders-late", "half of the orders are unanswered and executed seconds later", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.operator.lateOrders) }},
-	{"orders-slow", "orders take up to 0.9 s to reach their replica", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.operator.slowOrders) }},
+	{"orders-late", "half of the orders are unanswered and executed seconds later", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.operator.lateOrders) }},
+	{"orders-slow", "orders take up to 0.9 s to reach their replica", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.operator.slowOrders) }},
 	{"region-cut", "the link to the region without the record store is cut in one or both directions", 14 * time.Second, 8 * time.Second, cutRegion},
 	{"region-slow", "messages between the regions take up to 390 ms longer, or 2 s", 12 * time.Second, 9 * time.Second, slowRegion},
 	{"clock-step", "a node's wall clock jumps by 2 s and back", 10 * time.Second, 6 * time.Second, stepClock},
-	{"duties-late", "half of the calls to the platform are unanswered and executed seconds later", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.platform.losing) }},
+	{"duties-late", "half of the calls to the platform are unanswered and executed seconds later", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.platform.losing) }},
 	{"reporter-kill", "the node that reports usage is killed and restarts without state", 12 * time.Second, 4 * time.Second, killReporter},
 	{"scorer-crash", "a scorer crashes and another one takes its address", 10 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.randomScorer().crash(duration) }},
-	{"scorer-dark", "a scorer does not respond", 12 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.randomScorer().unresponsive) }},
-	{"scorer-fails", "a scorer fails half of its calls", 10 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.randomScorer().failing) }},
-	{"scorer-loses", "a scorer loses half of its responses", 10 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.randomScorer().losing) }},
-	{"scorer-slow", "a scorer is twenty times as slow", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.raiseFor(duration, &w.randomScorer().slow) }},
+	{"scorer-dark", "a scorer does not respond", 12 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.randomScorer().unresponsive) }},
+	{"scorer-fails", "a scorer fails half of its calls", 10 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.randomScorer().failing) }},
+	{"scorer-loses", "a scorer loses half of its responses", 10 * time.Second, 4 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.randomScorer().losing) }},
+	{"scorer-slow", "a scorer is twenty times as slow", 10 * time.Second, 6 * time.Second, func(w *World, duration time.Duration) { w.activateFor(duration, &w.randomScorer().slow) }},
 	{"replica-cold", "a replica becomes cold without a restart", 6 * time.Second, time.Second, func(w *World, _ time.Duration) { w.randomReplica().turnCold() }},
 	{"zone-cold-return", "all replicas of a zone become cold at the same time", 12 * time.Second, time.Second, turnZoneCold},
 	{"all-cold", "all replicas become cold at the same time", 20 * time.Second, time.Second, turnAllCold},
@@ -100,8 +100,8 @@
 	}
 }
 
-// raiseFor increments a counter of active faults for the duration.
-func (w *World) raiseFor(duration time.Duration, count *int) {
+// activateFor increments a counter of active faults for the duration.
+func (w *World) activateFor(duration time.Duration, count *int) {
 	*count++
 	w.store.stable(w.Now)
 	w.After(duration, func() {
--- a/internal/simulation/clustersim/replica.go
+++ b/internal/simulation/clustersim/replica.go
@@ -83,7 +83,7 @@
 		Draining: !r.drainedAt.IsZero(), Versions: report.Versions, ColdFor: max(r.cold.until.Sub(r.world.Now), 0),
 	})
 	if err != nil {
-		panic("encode replica record: " + err.Error())
+		panic("encoding a replica record: " + err.Error())
 	}
 	r.world.store.records.Commit(r.world.Now, port.RecordTransaction{Puts: []port.Record{{RecordKey: r.recordKey(), Value: value}}})
 }
--- a/internal/simulation/clustersim/scorer.go
+++ b/internal/simulation/clustersim/scorer.go
@@ -53,7 +53,7 @@
 		ID: s.id, Service: scorerName, Address: s.address, Zone: scorerZone, Slots: scorerSlots, Draining: !s.drainedAt.IsZero(),
 	})
 	if err != nil {
-		panic("encode scorer record: " + err.Error())
+		panic("encoding a scorer record: " + err.Error())
 	}
 	s.world.store.records.Commit(s.world.Now, port.RecordTransaction{Puts: []port.Record{{RecordKey: s.recordKey(), Value: value}}})
 }
--- a/internal/simulation/clustersim/store.go
+++ b/internal/simulation/clustersim/store.go
@@ -100,7 +100,7 @@
 	}, done)
 }
 
-// write makes a write call. While losing is raised, a third of the writes get no answer, and half of
+// write makes a write call. While the losing fault is active, a third of the writes get no answer, and half of
 // these take effect up to 6 s late.
 func (s *store) write(n *node, perform func(now time.Time) port.RecordResult, done func(result port.RecordResult)) {
 	w := s.world
--- a/internal/simulation/clustersim/trainer.go
+++ b/internal/simulation/clustersim/trainer.go
@@ -85,7 +85,7 @@
 func (o *operator) put(key string, content any) {
 	value, err := json.Marshal(content)
 	if err != nil {
-		panic("encode operator record: " + err.Error())
+		panic("encoding a operator record: " + err.Error())
 	}
 	record := port.Record{RecordKey: port.RecordKey{Table: operatorTable, Key: key}, Value: value}
 	if o.world.store.records.Commit(o.world.Now, port.RecordTransaction{Puts: []port.Record{record}}).Status != port.RecordDone {
@@ -211,7 +211,7 @@
 	w.After(readInterval, func() { t.pollResults(record, until) })
 }
 
-// readResults reads a job's results from a position on from a random node and checks them.
+// readResults reads a job's results from a random node, starting at a position, and checks them.
 func (w *World) readResults(record *jobRecord, from int) {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	n.invoke(n.incarnation, func(time.Time) {
--- a/internal/simulation/clustersim/usage.go
+++ b/internal/simulation/clustersim/usage.go
@@ -112,7 +112,7 @@
 		w.check.reportViolation(w, "one-reporter", "fence %d is used by %s and %s", report.Fence, p.calls[len(p.calls)-1].holder, n.name)
 	}
 	p.fence = report.Fence
-	p.checkTurns(n)
+	p.checkHolderAlternation(n)
 	if previous, found := p.accepted[report.Window]; found && !maps.Equal(previous, report.Requests) {
 		w.check.reportViolation(w, "one-report", "window %d was reported as %v and as %v", report.Window, previous, report.Requests)
 		return port.DutyDone
@@ -123,8 +123,8 @@
 	return port.DutyDone
 }
 
-// checkTurns checks that two holders do not alternate within orderPause.
-func (p *dutyPlatform) checkTurns(n *node) {
+// checkHolderAlternation checks that two holders do not alternate within orderPause.
+func (p *dutyPlatform) checkHolderAlternation(n *node) {
 	w := p.world
 	p.calls = append(p.calls, dutyCall{holder: n.name, at: w.Now})
 	between := false
