--- a/internal/soak/drain.go
+++ b/internal/soak/drain.go
@@ -32,7 +32,7 @@
 	if drained {
 		s.drain(r)
 	} else {
-		r.link.SetMode(LinkSilent)
+		r.link.SetMode(LinkHoldBoth)
 		time.Sleep(lingerDuration)
 	}
 	r.Stop()
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -112,7 +112,7 @@
 	case 1:
 		link.Reset = true
 	default:
-		link.Mode = LinkSilent + random.IntN(3)
+		link.Mode = LinkHoldBoth + random.IntN(3)
 	}
 	return link
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -11,8 +11,8 @@
 const (
 	// LinkOpen forwards all data.
 	LinkOpen = iota
-	// LinkSilent holds all data in both directions.
-	LinkSilent
+	// LinkHoldBoth holds all data in both directions.
+	LinkHoldBoth
 	// LinkMuteUp holds data from clients, LinkMuteDown data to clients.
 	LinkMuteUp
 	LinkMuteDown
@@ -162,7 +162,7 @@
 func (p *Proxy) waitWhileCut(muted int, dir direction) {
 	for {
 		mode := int(p.mode.Load())
-		if mode != LinkSilent && mode != muted && !dir.cut() {
+		if mode != LinkHoldBoth && mode != muted && !dir.cut() {
 			return
 		}
 		time.Sleep(holdPollInterval)
