--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -13,8 +13,8 @@
 	LinkOpen = iota
 	// LinkHoldBoth holds all data in both directions.
 	LinkHoldBoth
-	// LinkMuteUp holds data from clients, LinkMuteDown data to clients.
-	LinkMuteUp
+	// LinkHoldFromClient holds data from clients, LinkMuteDown data to clients.
+	LinkHoldFromClient
 	LinkMuteDown
 )
 
@@ -104,7 +104,7 @@
 		up = p.Direction(client)
 	}
 	// An interrupted link accepts connections, as the kernel does, but does not connect to the target.
-	p.waitWhileCut(LinkMuteUp, up)
+	p.waitWhileCut(LinkHoldFromClient, up)
 	server, err := net.Dial("tcp", p.Target)
 	if err != nil {
 		if tcp, ok := client.(*net.TCPConn); ok {
@@ -120,7 +120,7 @@
 	done.Add(2)
 	go func() {
 		defer done.Done()
-		p.copyDirection(client, server, LinkMuteUp, up)
+		p.copyDirection(client, server, LinkHoldFromClient, up)
 	}()
 	go func() {
 		defer done.Done()
