--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -15,7 +15,7 @@
 	LinkHoldBoth
 	// LinkHoldFromClient holds data from clients, LinkMuteDown data to clients.
 	LinkHoldFromClient
-	LinkMuteDown
+	LinkHoldToClient
 )
 
 // holdPollInterval is how often a connection checks whether its link is open again.
@@ -124,7 +124,7 @@
 	}()
 	go func() {
 		defer done.Done()
-		p.copyDirection(server, client, LinkMuteDown, up.reverse())
+		p.copyDirection(server, client, LinkHoldToClient, up.reverse())
 	}()
 	done.Wait()
 	p.mu.Lock()
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -58,7 +58,7 @@
 }
 
 func TestProxyHoldsDataWhileInterrupted(t *testing.T) {
-	for _, mode := range []int{LinkHoldBoth, LinkHoldFromClient, LinkMuteDown} {
+	for _, mode := range []int{LinkHoldBoth, LinkHoldFromClient, LinkHoldToClient} {
 		p := &Proxy{Target: echo(t)}
 		conn := dial(t, p)
 		if err := roundTrip(conn, testTimeout); err != nil {
