--- a/internal/command/standin/request.go
+++ b/internal/command/standin/request.go
@@ -27,16 +27,16 @@
 			&cli.StringFlag{Name: "id", Usage: "the request ID; omitted by default"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			answer := platformtest.Client{}.Send(ctx, platformtest.Call{
+			response := platformtest.Client{}.Send(ctx, platformtest.Call{
 				Address: c.String("address"), Method: c.String("method"), Path: c.String("path"), ID: c.String("id"),
 				Body: []byte(c.String("body")), Deadline: requestTimeout,
 			})
-			if answer.Err != nil {
-				return command.Fail(command.ExitFailed, answer.Err)
+			if response.Err != nil {
+				return command.Fail(command.ExitFailed, response.Err)
 			}
-			fmt.Fprint(c.Root().Writer, string(answer.Body))
-			if answer.Status >= 300 {
-				return command.Fail(command.ExitFailed, fmt.Errorf("request failed with status %d", answer.Status))
+			fmt.Fprint(c.Root().Writer, string(response.Body))
+			if response.Status >= 300 {
+				return command.Fail(command.ExitFailed, fmt.Errorf("request failed with status %d", response.Status))
 			}
 			return nil
 		},
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -161,40 +161,40 @@
 }
 
 // RecordResponse records the response to a plain request and the expected body.
-func (c *Checker) RecordResponse(id, want string, answer platformtest.Response) {
+func (c *Checker) RecordResponse(id, want string, response platformtest.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if answer.Err != nil {
+	if response.Err != nil {
 		c.counts["broken"]++
 		return
 	}
-	c.counts[fmt.Sprint("status ", answer.Status)]++
-	if answer.Status == 200 && (!answer.IsSigned() || string(answer.Body) != want) {
-		c.addViolation("request %s: got body %q (signed %t), want %q", id, answer.Body, answer.IsSigned(), want)
+	c.counts[fmt.Sprint("status ", response.Status)]++
+	if response.Status == 200 && (!response.IsSigned() || string(response.Body) != want) {
+		c.addViolation("request %s: got body %q (signed %t), want %q", id, response.Body, response.IsSigned(), want)
 	}
-	c.checkNotRun(id, answer)
+	c.checkNotRun(id, response)
 }
 
 // checkNotRun checks that a non-idempotent request that was reported as not run did not run.
-func (c *Checker) checkNotRun(id string, answer platformtest.Response) {
-	if !answer.NotExecuted() || !c.nonIdempotent[id] {
+func (c *Checker) checkNotRun(id string, response platformtest.Response) {
+	if !response.NotExecuted() || !c.nonIdempotent[id] {
 		return
 	}
-	c.notRun[id] = fmt.Sprint(answer.Status)
+	c.notRun[id] = fmt.Sprint(response.Status)
 	if c.runs[id] > 0 {
-		c.addViolation("request %s ran but was refused with status %d", id, answer.Status)
+		c.addViolation("request %s ran but was refused with status %d", id, response.Status)
 	}
 }
 
 // RecordStream records a stream that ended normally.
-func (c *Checker) RecordStream(id string, answer platformtest.Response) {
+func (c *Checker) RecordStream(id string, response platformtest.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["streams"]++
-	if want := model.ItemEvents(id); int64(len(answer.Events())) != want {
-		c.addViolation("stream %s ended normally after %d of %d events", id, len(answer.Events()), want)
+	if want := model.ItemEvents(id); int64(len(response.Events())) != want {
+		c.addViolation("stream %s ended normally after %d of %d events", id, len(response.Events()), want)
 	}
-	for i, event := range answer.Events() {
+	for i, event := range response.Events() {
 		text, _, _ := strings.Cut(event, "@")
 		if text != model.ItemEvent(id, int64(i+1)) {
 			c.addViolation("stream %s contains %q as event %d", id, event, i+1)
@@ -236,17 +236,17 @@
 }
 
 // RecordRead records results that were read starting at a position.
-func (c *Checker) RecordRead(job string, from int, reading platformtest.ResultsPage) {
+func (c *Checker) RecordRead(job string, from int, page platformtest.ResultsPage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	record := c.jobs[job]
 	if record == nil {
 		return
 	}
-	if reading.Total != record.job.Items {
-		c.addViolation("job %s has %d items, but the response reports %d", job, record.job.Items, reading.Total)
+	if page.Total != record.job.Items {
+		c.addViolation("job %s has %d items, but the response reports %d", job, record.job.Items, page.Total)
 	}
-	for i, result := range reading.Results {
+	for i, result := range page.Results {
 		c.recordResult(record, from+i, result)
 	}
 }
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -77,9 +77,9 @@
 			s.checker.MarkNonIdempotent(id)
 			s.sendPlain(ctx, n, restrictedPath, id)
 		case 1:
-			answer := s.send(ctx, n, http.MethodPost, "/stream/x", id, nil)
-			if answer.Err == nil && answer.Status == http.StatusOK {
-				s.checker.RecordStream(id, answer)
+			response := s.send(ctx, n, http.MethodPost, "/stream/x", id, nil)
+			if response.Err == nil && response.Status == http.StatusOK {
+				s.checker.RecordStream(id, response)
 			}
 		default:
 			s.sendPlain(ctx, n, "/plain/x", id)
@@ -109,13 +109,13 @@
 	}
 	undisturbed := s.undisturbedFor() > minUndisturbed
 	body := "body of " + id
-	answer := s.sendWith(ctx, client, n, http.MethodPost, path, id, []byte(body))
+	response := s.sendWith(ctx, client, n, http.MethodPost, path, id, []byte(body))
 	if ctx.Err() != nil {
 		return
 	}
-	s.checker.RecordResponse(id, fmt.Sprintf("POST %s %s", path, body), answer)
-	if answer.Err != nil && undisturbed && s.undisturbedFor() > minUndisturbed && n.stopping.Load() && s.checker.HasRun(id) {
-		s.checker.AddViolation("request %s was interrupted by the graceful shutdown of %s: %s", id, n.name, answer.Err)
+	s.checker.RecordResponse(id, fmt.Sprintf("POST %s %s", path, body), response)
+	if response.Err != nil && undisturbed && s.undisturbedFor() > minUndisturbed && n.stopping.Load() && s.checker.HasRun(id) {
+		s.checker.AddViolation("request %s was interrupted by the graceful shutdown of %s: %s", id, n.name, response.Err)
 	}
 }
 
@@ -153,13 +153,13 @@
 	body := platformtest.EncodeJob(job)
 	refusals, last := true, 0
 	for end := time.Now().Add(jobTimeout); time.Now().Before(end) && ctx.Err() == nil; sleepRandom(ctx, random, 2*meanRequestPause) {
-		answer := s.send(ctx, s.randomNode(random), http.MethodPost, "/batch/x", job.ID, body)
-		if answer.Err == nil && answer.Status == http.StatusAccepted {
+		response := s.send(ctx, s.randomNode(random), http.MethodPost, "/batch/x", job.ID, body)
+		if response.Err == nil && response.Status == http.StatusAccepted {
 			s.checker.RecordAccepted(job, time.Now())
 			return true
 		}
-		refusals = refusals && answer.NotExecuted()
-		last = answer.Status
+		refusals = refusals && response.NotExecuted()
+		last = response.Status
 	}
 	if refusals && last != 0 && ctx.Err() == nil {
 		s.checker.RecordRefused(job, last)
@@ -181,19 +181,19 @@
 			return
 		}
 		undisturbed := s.undisturbedFor() > minUndisturbed && time.Since(acceptedAt) > 2*time.Second
-		answer := s.send(ctx, s.randomNode(random), http.MethodGet, platformtest.ResultsPath(job.ID, start), "", nil)
-		if answer.Err != nil {
+		response := s.send(ctx, s.randomNode(random), http.MethodGet, platformtest.ResultsPath(job.ID, start), "", nil)
+		if response.Err != nil {
 			continue
 		}
-		if answer.Status == http.StatusNotFound && undisturbed {
+		if response.Status == http.StatusNotFound && undisturbed {
 			s.checker.AddViolation("job %s was accepted but not found", job.ID)
 		}
-		reading, ok := platformtest.DecodeResults(answer.Body)
-		if answer.Status != http.StatusOK || !ok {
+		page, ok := platformtest.DecodeResults(response.Body)
+		if response.Status != http.StatusOK || !ok {
 			continue
 		}
-		s.checker.RecordRead(job.ID, start, reading)
-		from = max(from, start+len(reading.Results))
+		s.checker.RecordRead(job.ID, start, page)
+		from = max(from, start+len(page.Results))
 		if from >= job.Items {
 			s.endJob(ctx, random, job)
 			return
@@ -205,20 +205,20 @@
 // readItemBody requests the body of a random item.
 func (s *Soak) readItemBody(ctx context.Context, random *rand.Rand, job platformtest.Job, undisturbed bool) {
 	item := job.ItemID(random.IntN(job.Items))
-	answer := s.send(ctx, s.randomNode(random), http.MethodGet, platformtest.ItemPath(job.ID, item), "", nil)
+	response := s.send(ctx, s.randomNode(random), http.MethodGet, platformtest.ItemPath(job.ID, item), "", nil)
 	switch {
-	case answer.Err != nil:
-	case answer.Status == http.StatusOK && string(answer.Body) != platformtest.ItemBody:
-		s.checker.AddViolation("item %s has unexpected body %q", item, answer.Body)
-	case answer.Status == http.StatusNotFound && undisturbed && !s.checker.IsListed(job.ID, item):
+	case response.Err != nil:
+	case response.Status == http.StatusOK && string(response.Body) != platformtest.ItemBody:
+		s.checker.AddViolation("item %s has unexpected body %q", item, response.Body)
+	case response.Status == http.StatusNotFound && undisturbed && !s.checker.IsListed(job.ID, item):
 		s.checker.AddViolation("body of unlisted item %s not found", item)
 	}
 }
 
 func (s *Soak) endJob(ctx context.Context, random *rand.Rand, job platformtest.Job) {
 	for end := time.Now().Add(jobTimeout); time.Now().Before(end) && ctx.Err() == nil; sleepRandom(ctx, random, 2*meanRequestPause) {
-		answer := s.send(ctx, s.randomNode(random), http.MethodDelete, platformtest.JobPath(job.ID), "", nil)
-		if answer.Err == nil && answer.Status == http.StatusOK {
+		response := s.send(ctx, s.randomNode(random), http.MethodDelete, platformtest.JobPath(job.ID), "", nil)
+		if response.Err == nil && response.Status == http.StatusOK {
 			s.checker.RecordEnded(job.ID)
 			return
 		}
@@ -254,13 +254,13 @@
 
 func (s *Soak) probeRoute(ctx context.Context, n *node, version int64, attempt int) int {
 	id := fmt.Sprintf("probe-%s-%d-%d-%d", n.name, n.starts.Load(), version, attempt)
-	answer := platformtest.Client{}.Send(ctx, platformtest.Call{
+	response := platformtest.Client{}.Send(ctx, platformtest.Call{
 		Address: n.address, Method: http.MethodPost, Path: platformtest.ProbePath(int(version)), ID: id, Key: generationKey(version), Deadline: requestTimeout,
 	})
-	if answer.Err != nil {
+	if response.Err != nil {
 		return 0
 	}
-	return answer.Status
+	return response.Status
 }
 
 // operator writes configurations and publishes versions.
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -37,9 +37,9 @@
 	random := s.newRand(600)
 	for i := 0; ctx.Err() == nil; i++ {
 		sleepRandom(ctx, random, meanPoisonPause)
-		answer := s.send(ctx, s.randomNode(random), http.MethodPost, "/plain/x", fmt.Sprintf("poison.%d", i), []byte(poison))
-		if answer.Err == nil {
-			s.checker.Increment(fmt.Sprint("poison request: status ", answer.Status))
+		response := s.send(ctx, s.randomNode(random), http.MethodPost, "/plain/x", fmt.Sprintf("poison.%d", i), []byte(poison))
+		if response.Err == nil {
+			s.checker.Increment(fmt.Sprint("poison request: status ", response.Status))
 		}
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -13,7 +13,7 @@
 	LinkOpen = iota
 	// LinkHoldBoth holds all data in both directions.
 	LinkHoldBoth
-	// LinkHoldFromClient holds data from clients, LinkMuteDown data to clients.
+	// LinkHoldFromClient holds data from clients, LinkHoldToClient data to clients.
 	LinkHoldFromClient
 	LinkHoldToClient
 )
@@ -104,7 +104,7 @@
 		up = p.Direction(client)
 	}
 	// An interrupted link accepts connections, as the kernel does, but does not connect to the target.
-	p.waitWhileCut(LinkHoldFromClient, up)
+	p.waitWhileHeld(LinkHoldFromClient, up)
 	server, err := net.Dial("tcp", p.Target)
 	if err != nil {
 		if tcp, ok := client.(*net.TCPConn); ok {
@@ -136,7 +136,7 @@
 }
 
 // copyDirection copies data in one direction. When it ends, it closes both connections.
-func (p *Proxy) copyDirection(from, to net.Conn, muted int, dir direction) {
+func (p *Proxy) copyDirection(from, to net.Conn, holdMode int, dir direction) {
 	defer func() {
 		_ = from.Close()
 		_ = to.Close()
@@ -146,23 +146,24 @@
 		n, err := from.Read(buffer)
 		if n > 0 {
 			time.Sleep(time.Duration(p.delay.Load()) + dir.delay())
-			p.waitWhileCut(muted, dir)
+			p.waitWhileHeld(holdMode, dir)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
-			p.waitWhileCut(muted, dir)
+			p.waitWhileHeld(holdMode, dir)
 			return
 		}
 	}
 }
 
-// waitWhileCut blocks while a direction is interrupted.
-func (p *Proxy) waitWhileCut(muted int, dir direction) {
+// waitWhileHeld blocks while the mode or the link between the regions interrupts a direction. holdMode is the
+// mode that holds data in this direction only.
+func (p *Proxy) waitWhileHeld(holdMode int, dir direction) {
 	for {
 		mode := int(p.mode.Load())
-		if mode != LinkHoldBoth && mode != muted && !dir.cut() {
+		if mode != LinkHoldBoth && mode != holdMode && !dir.cut() {
 			return
 		}
 		time.Sleep(holdPollInterval)
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestDrawIsDeterministic(t *testing.T) {
+func TestRandomFaultIsDeterministic(t *testing.T) {
 	draw := func(seed uint64) []Fault {
 		random := rand.New(rand.NewPCG(seed, 1))
 		var list []Fault
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -309,11 +309,11 @@
 
 func (s *Soak) waitReady(n *node) bool {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		answer := platformtest.Client{}.Send(context.Background(), platformtest.Call{
+		response := platformtest.Client{}.Send(context.Background(), platformtest.Call{
 			Address: n.address, Method: http.MethodPost, Path: platformtest.ProbePath(int(s.configVersion.Load())),
 			ID: fmt.Sprintf("ready-%s-%d", n.name, time.Now().UnixNano()), Key: permanentKey, Deadline: time.Second,
 		})
-		if answer.Err == nil && answer.Status == http.StatusOK {
+		if response.Err == nil && response.Status == http.StatusOK {
 			return true
 		}
 	}
