--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -32,29 +32,29 @@
 // TestCheckerReportsViolations tests the checker with histories that satisfy and violate each guarantee.
 func TestCheckerReportsViolations(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		broken string
-		play   func(c *Checker)
+		name          string
+		wantViolation string
+		observe       func(c *Checker)
 	}{
-		{"valid response", "", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.SignedResponse(200, "b")) }},
-		{"response to another request", "want \"b\"", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.SignedResponse(200, "a")) }},
-		{"unsigned response", "signed false", func(c *Checker) { c.RecordAnswer("r", "b", platformtest.Response{Status: 200, Body: []byte("b")}) }},
+		{"valid response", "", func(c *Checker) { c.RecordResponse("r", "b", platformtest.SignedResponse(200, "b")) }},
+		{"response to another request", "want \"b\"", func(c *Checker) { c.RecordResponse("r", "b", platformtest.SignedResponse(200, "a")) }},
+		{"unsigned response", "signed false", func(c *Checker) { c.RecordResponse("r", "b", platformtest.Response{Status: 200, Body: []byte("b")}) }},
 		{"idempotent request runs twice", "", func(c *Checker) { c.RecordRun("x", "r"); c.RecordRun("y", "r") }},
 		{"non-idempotent request runs twice", "ran 2 times", func(c *Checker) { c.MarkNonIdempotent("r"); c.RecordRun("x", "r"); c.RecordRun("y", "r") }},
 		{"refused after running", "ran but was refused with status 503", func(c *Checker) {
 			c.MarkNonIdempotent("r")
 			c.RecordRun("x", "r")
-			c.RecordAnswer("r", "b", platformtest.SignedResponse(503, ""))
+			c.RecordResponse("r", "b", platformtest.SignedResponse(503, ""))
 		}},
 		{"runs after being refused", "after it was refused with status 429", func(c *Checker) {
 			c.MarkNonIdempotent("r")
-			c.RecordAnswer("r", "b", platformtest.SignedResponse(429, ""))
+			c.RecordResponse("r", "b", platformtest.SignedResponse(429, ""))
 			c.RecordRun("x", "r")
 		}},
 		{"502 does not guarantee that the request did not run", "", func(c *Checker) {
 			c.MarkNonIdempotent("r")
 			c.RecordRun("x", "r")
-			c.RecordAnswer("r", "b", platformtest.SignedResponse(502, ""))
+			c.RecordResponse("r", "b", platformtest.SignedResponse(502, ""))
 		}},
 		{"valid job", "", func(c *Checker) {
 			c.RecordAccepted(job, acceptedAt)
@@ -141,10 +141,10 @@
 		}},
 	} {
 		checker := NewChecker()
-		c.play(checker)
+		c.observe(checker)
 		seen := strings.Join(checker.Violations(), "; ")
-		if c.broken == "" && seen != "" || c.broken != "" && !strings.Contains(seen, c.broken) {
-			t.Errorf("%s: got violations %q, want %q", c.name, seen, c.broken)
+		if c.wantViolation == "" && seen != "" || c.wantViolation != "" && !strings.Contains(seen, c.wantViolation) {
+			t.Errorf("%s: got violations %q, want %q", c.name, seen, c.wantViolation)
 		}
 	}
 }
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -63,13 +63,13 @@
 
 // Kinds of store faults.
 const (
-	StoreSilent   StoreKind = "silent"
-	StoreRefusing StoreKind = "refusing"
-	StoreLosing   StoreKind = "losing"
-	StoreLate     StoreKind = "late"
-	StoreSlow     StoreKind = "slow"
-	StoreForget   StoreKind = "forget"
-	StoreHush     StoreKind = "hush"
+	StoreSilent       StoreKind = "silent"
+	StoreRefusing     StoreKind = "refusing"
+	StoreLosing       StoreKind = "losing"
+	StoreLate         StoreKind = "late"
+	StoreSlow         StoreKind = "slow"
+	StoreCompacts     StoreKind = "forget"
+	StoreMutesWatches StoreKind = "hush"
 )
 
 // ReplicaKind is a kind of replica fault.
@@ -112,14 +112,14 @@
 	case 1:
 		link.Reset = true
 	default:
-		link.Mode = LinkSilent + random.IntN(3)
+		link.Mode = LinkHoldBoth + random.IntN(3)
 	}
 	return link
 }
 
-// Draw returns a random fault.
-func Draw(random *rand.Rand) Fault {
-	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreForget, StoreHush}
+// RandomFault returns a random fault.
+func RandomFault(random *rand.Rand) Fault {
+	stores := []StoreKind{StoreSilent, StoreRefusing, StoreLosing, StoreLate, StoreSlow, StoreCompacts, StoreMutesWatches}
 	replicas := []ReplicaKind{ReplicaBreaks, ReplicaFails, ReplicaFull, ReplicaDrains, ReplicaCrashes, ReplicaLoses, ReplicaDoubles, ReplicaSlow}
 	switch random.IntN(15) {
 	case 12:
@@ -176,7 +176,7 @@
 		done := make(chan struct{}, maxConcurrentFaults)
 		round := 1 + random.IntN(maxConcurrentFaults)
 		for range round {
-			fault := Draw(random)
+			fault := RandomFault(random)
 			counts[fmt.Sprintf("%T", fault)]++
 			victim := random.IntN(1 << 20)
 			s.Logf("%6.2f s  fault %T %+v", time.Since(s.startedAt).Seconds(), fault, fault)
@@ -286,10 +286,10 @@
 
 func (s *Soak) applyStoreFault(fault StoreFault) {
 	switch fault.Kind {
-	case StoreForget:
+	case StoreCompacts:
 		s.store.Records.CompactHistory()
 		return
-	case StoreHush:
+	case StoreMutesWatches:
 		s.store.Records.MuteWatches(time.Now().Add(time.Second))
 		time.Sleep(time.Second)
 		s.store.Records.CompactHistory()
@@ -309,7 +309,7 @@
 		flag = &s.store.Unavailable
 	case StoreLosing:
 		flag = &s.store.DropResponses
-	case StoreLate, StoreForget, StoreHush, StoreSlow:
+	case StoreLate, StoreCompacts, StoreMutesWatches, StoreSlow:
 	}
 	flag.Store(true)
 	time.Sleep(fault.Duration)
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -58,7 +58,7 @@
 }
 
 func TestProxyHoldsDataWhileInterrupted(t *testing.T) {
-	for _, mode := range []int{LinkSilent, LinkMuteUp, LinkMuteDown} {
+	for _, mode := range []int{LinkHoldBoth, LinkHoldFromClient, LinkHoldToClient} {
 		p := &Proxy{Target: echo(t)}
 		conn := dial(t, p)
 		if err := roundTrip(conn, testTimeout); err != nil {
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestDrawIsDeterministic(t *testing.T) {
+func TestRandomFaultIsDeterministic(t *testing.T) {
 	draw := func(seed uint64) []Fault {
 		random := rand.New(rand.NewPCG(seed, 1))
 		var list []Fault
 		for range 200 {
-			list = append(list, Draw(random))
+			list = append(list, RandomFault(random))
 		}
 		return list
 	}
