--- a/internal/version/usage/clock.go
+++ b/internal/version/usage/clock.go
@@ -124,7 +124,7 @@
 // offset, either in several consecutive reviews or with more nodes than have agreed with the clock.
 func (k *ClockKeeper) review(now time.Time, at time.Duration, offsets []time.Duration) {
 	median, agreed := majority(offsets)
-	if !k.Clock.known {
+	if !k.Clock.isSet {
 		k.setInitially(now, at, median, agreed, len(offsets))
 		return
 	}
@@ -177,7 +177,7 @@
 	next := &doorstepv1.UsageClock{
 		OffsetMs: offset.Milliseconds(), FirstWindow: k.Clock.firstWindow, SetAtMs: k.Clock.setAt.Milliseconds(), Agreed: int32(agreed),
 	}
-	if !k.Clock.known {
+	if !k.Clock.isSet {
 		started := at - now.Sub(k.StartedAt)
 		next.SetAtMs = at.Milliseconds()
 		next.FirstWindow = int64((started + offset) / k.Clock.Length)
--- a/internal/version/usage/clock_test.go
+++ b/internal/version/usage/clock_test.go
@@ -72,7 +72,7 @@
 		b := newTestBench(1)
 		b.offsets = offsets
 		b.run(startupDelay + 3*time.Second)
-		if b.nodes[0].clock.known {
+		if b.nodes[0].clock.isSet {
 			t.Fatalf("the clock was set from offsets %v", offsets)
 		}
 	}
@@ -81,14 +81,14 @@
 	b.run(startupDelay + 3*time.Second)
 	b.offsets = append(b.offsets, exact+time.Millisecond)
 	b.run(3 * time.Second)
-	if got := b.nodes[0].clock.offset - exact; !b.nodes[0].clock.known || got.Abs() > time.Millisecond {
-		t.Errorf("clock set: %t, off by %s", b.nodes[0].clock.known, got)
+	if got := b.nodes[0].clock.offset - exact; !b.nodes[0].clock.isSet || got.Abs() > time.Millisecond {
+		t.Errorf("clock set: %t, off by %s", b.nodes[0].clock.isSet, got)
 	}
 	// After majorityTimeout, the median is used without a majority.
 	b = newTestBench(1)
 	b.offsets = []time.Duration{exact, exact + 2*time.Second}
 	b.run(startupDelay + majorityTimeout + 3*time.Second)
-	if !b.nodes[0].clock.known {
+	if !b.nodes[0].clock.isSet {
 		t.Error("the clock was not set although nodes disagreed for longer than the timeout")
 	}
 	// The clock is corrected as soon as a majority agrees.
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestClockWaitsForAllThatTell checks that the clock is not set from the first two offsets after an
-// outage, both of which are wrong, while more nodes write theirs.
-func TestClockWaitsForAllThatTell(t *testing.T) {
+// TestClockWaitsForStableNodeCount checks that the clock is not set from the first two offsets after
+// an outage, both of which are wrong, while more nodes write theirs.
+func TestClockWaitsForStableNodeCount(t *testing.T) {
 	const exact, jump = time.Duration(1_000_000 * int64(time.Second)), -2 * time.Second
 	b := newTestBench(1)
 	b.offsets = []time.Duration{exact + jump, exact + jump}
@@ -111,14 +111,14 @@
 			b.offsets = append(b.offsets, exact)
 		}
 		b.run(startupDelay / 12)
-		if clock.known && clock.offset != exact {
+		if clock.isSet && clock.offset != exact {
 			t.Fatalf("clock off by %s with %d offsets", clock.offset-exact, len(b.offsets))
 		}
 		if i == 0 {
 			b.run(startupDelay - startupDelay/12)
 		}
 	}
-	if !clock.known {
+	if !clock.isSet {
 		t.Error("the clock was not set")
 	}
 }
--- a/internal/version/usage/counter.go
+++ b/internal/version/usage/counter.go
@@ -80,7 +80,7 @@
 		return
 	}
 	at, known := c.options.StoreClock(beganAt)
-	if !known || !c.options.Clock.known {
+	if !known || !c.options.Clock.isSet {
 		c.addPending(pendingRequest{beganAt, tenant})
 		return
 	}
@@ -118,7 +118,7 @@
 // Tick writes counts when due. If flush is set, it writes all counts, because the node is stopping.
 func (c *Counter) Tick(now time.Time, flush bool) {
 	at, known := c.options.StoreClock(now)
-	if !known || !c.options.Clock.known {
+	if !known || !c.options.Clock.isSet {
 		return
 	}
 	c.countPending(now)
--- a/internal/version/usage/reporter.go
+++ b/internal/version/usage/reporter.go
@@ -66,8 +66,8 @@
 type report struct {
 	window   int64
 	requests map[string]int64
-	// rows holds the keys of the counts included, which are deleted once the report is accepted.
-	rows []port.RecordKey
+	// countKeys holds the keys of the counts included, which are deleted once the report is accepted.
+	countKeys []port.RecordKey
 	// partitionsRead is the number of count partitions that were read.
 	partitionsRead int
 	persisted      bool
@@ -203,7 +203,7 @@
 		r.options.Queue.Log(event.RecordUnreadable, "table", record.Table, "key", record.Key, "error", err.Error())
 		return
 	}
-	r.report.rows = append(r.report.rows, record.RecordKey)
+	r.report.countKeys = append(r.report.countKeys, record.RecordKey)
 	for tenant, count := range counted.Requests {
 		r.report.requests[tenant] += count
 	}
@@ -230,7 +230,7 @@
 			}
 			current.persisted = true
 			r.options.Queue.Log(event.UsageAggregated, "window", current.window, "tenants", len(current.requests), "requests", total(current.requests),
-				"rows", len(current.rows), "stood", result.Status == port.RecordConflict)
+				"rows", len(current.countKeys), "stood", result.Status == port.RecordConflict)
 		}),
 	})
 }
@@ -318,7 +318,7 @@
 // deleteCounts deletes the counts of an accepted report.
 func (r *Reporter) deleteCounts(accepted *report) {
 	byPartition := map[string][]port.RecordKey{}
-	for _, key := range accepted.rows {
+	for _, key := range accepted.countKeys {
 		byPartition[key.Partition] = append(byPartition[key.Partition], key)
 	}
 	for _, partition := range slices.Sorted(maps.Keys(byPartition)) {
--- a/internal/version/usage/usage.go
+++ b/internal/version/usage/usage.go
@@ -42,7 +42,7 @@
 // set.
 type Clock struct {
 	Windows
-	known bool
+	isSet bool
 	// offset is the difference between the wall clock and the store's clock.
 	offset time.Duration
 	// firstWindow is the first window that is reported.
@@ -59,7 +59,7 @@
 	if err := proto.Unmarshal(record.Value, decoded); err != nil {
 		return err
 	}
-	c.known = !record.Deleted
+	c.isSet = !record.Deleted
 	c.offset = time.Duration(decoded.OffsetMs) * time.Millisecond
 	c.firstWindow = decoded.FirstWindow
 	c.setAt = time.Duration(decoded.SetAtMs) * time.Millisecond
@@ -70,7 +70,7 @@
 // propagated reports whether all nodes should have seen the clock by the given reading of the
 // store's clock.
 func (c *Clock) propagated(at time.Duration) bool {
-	return c.known && at >= c.setAt+clockPropagationDelay
+	return c.isSet && at >= c.setAt+clockPropagationDelay
 }
 
 // window returns the window that contains the given reading of the store's clock.
