--- a/internal/version/experiment/steps_test.go
+++ b/internal/version/experiment/steps_test.go
@@ -113,7 +113,7 @@
 		Configuration: func() *doorstepv1.Configuration { return b.configuration },
 		Route:         func(string, port.RouteKind) *port.Route { return &port.Route{Name: "r", Host: "h", PathPrefix: "/p/"} },
 		Describe: func(model, prompt string, maxTokens int) http.Header {
-			return http.Header{"Model": {model}, "Prompt": {prompt}, "Most": {fmt.Sprint(maxTokens)}}
+			return http.Header{"Model": {model}, "Prompt": {prompt}, "Max-Tokens": {fmt.Sprint(maxTokens)}}
 		},
 	}
 	if err := PutPrompts(context.Background(), b.Store, "q", []string{"one", "two", "three"}); err != nil {
@@ -247,8 +247,8 @@
 func TestSealedSamplesDoNotChange(t *testing.T) {
 	b := newTestBench(t)
 	first := b.pull(1)
-	for named := int64(2); named <= 9; named++ {
-		b.Publish(context.Background(), "e", "b", named)
+	for version := int64(2); version <= 9; version++ {
+		b.Publish(context.Background(), "e", "b", version)
 	}
 	b.configuration.Experiments[0].Policy = "other"
 	if again := b.pull(1); !reflect.DeepEqual(again, first) {
