--- a/internal/version/configuration/change.go
+++ b/internal/version/configuration/change.go
@@ -24,15 +24,14 @@
 	defaultSamples        = 32
 	defaultStalenessBound = 2
 	defaultIdleWeight     = 50
-	defaultMaximumTokens  = 512
+	defaultMaxTokens      = 512
 	defaultShare          = 1
-	maximumWeight         = 100
+	maxWeight             = 100
 	// noService is the value of a setting that removes a service.
 	noService = "none"
 )
 
-// Apply returns a copy of the configuration with the command applied, or an error if it cannot be
-// applied.
+// Apply returns a copy of the configuration with the command applied.
 func Apply(current *doorstepv1.Configuration, command *port.Command) (*doorstepv1.Configuration, error) {
 	next := proto.Clone(current).(*doorstepv1.Configuration)
 	next.Revision++
@@ -92,7 +91,7 @@
 		Samples:        defaultSamples,
 		StalenessBound: defaultStalenessBound,
 		IdleWeight:     defaultIdleWeight,
-		MaxTokens:      defaultMaximumTokens,
+		MaxTokens:      defaultMaxTokens,
 		Share:          defaultShare,
 		State:          doorstepv1.ExperimentState_EXPERIMENT_STATE_RUNNING,
 	}
@@ -156,11 +155,11 @@
 	case "staleness":
 		return setNumber(setting.Name, value, 0, 1<<20, func(n int64) { experiment.StalenessBound = n })
 	case "idle_weight":
-		return setNumber(setting.Name, value, 0, maximumWeight, func(n int64) { experiment.IdleWeight = uint32(n) })
+		return setNumber(setting.Name, value, 0, maxWeight, func(n int64) { experiment.IdleWeight = uint32(n) })
 	case "max_tokens":
 		return setNumber(setting.Name, value, 1, MaxTokens, func(n int64) { experiment.MaxTokens = uint32(n) })
 	case "share":
-		return setNumber(setting.Name, value, 1, maximumWeight, func(n int64) { experiment.Share = uint32(n) })
+		return setNumber(setting.Name, value, 1, maxWeight, func(n int64) { experiment.Share = uint32(n) })
 	case "min_version":
 		return setNumber(setting.Name, value, 0, 1<<40, func(n int64) { experiment.MinVersion = n })
 	case "max_version":
--- a/internal/version/configuration/change_test.go
+++ b/internal/version/configuration/change_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestDifference(t *testing.T) {
+func TestDiff(t *testing.T) {
 	before, _ := apply(t, createStatement)
 	after, err := Apply(before, &port.Command{Kind: port.PauseExperiment, Experiment: "e"})
 	if err != nil {
@@ -90,6 +90,6 @@
 	}
 	reply := Diff(before, after)
 	if len(reply.Rows) != 1 || reply.Rows[0][0] != "experiment e" || reply.Revision != before.Revision {
-		t.Errorf("difference: %+v", reply)
+		t.Errorf("unexpected diff: %+v", reply)
 	}
 }
--- a/internal/version/configuration/command_test.go
+++ b/internal/version/configuration/command_test.go
@@ -50,7 +50,7 @@
 	return port.RecordResult{Status: port.RecordRefused}
 }
 
-func newCommander(commit func(n int) (port.RecordStatus, bool, bool)) *Executor {
+func newExecutor(commit func(n int) (port.RecordStatus, bool, bool)) *Executor {
 	return &Executor{Store: &faultyStore{RecordStore: model.NewRecordStore(time.Now(), model.RecordStoreOptions{}), commit: commit}, Now: time.Now}
 }
 
@@ -68,7 +68,7 @@
 }
 
 func TestConcurrentCommandsAreSerialized(t *testing.T) {
-	c := newCommander(nil)
+	c := newExecutor(nil)
 	const operators = 12
 	replies := make([]port.OperatorReply, operators)
 	var group sync.WaitGroup
@@ -96,8 +96,8 @@
 	}
 }
 
-func TestConflictNamesTheOtherOperator(t *testing.T) {
-	c := newCommander(nil)
+func TestConflictReportsOtherOperator(t *testing.T) {
+	c := newExecutor(nil)
 	submit(t, c, "first", "t1", "drain zone z", 1)
 	reply := submit(t, c, "second", "t2", "drain zone y", 1)
 	if reply.Status != port.Refused || !strings.Contains(reply.Reason, `"first" made revision 2`) {
@@ -117,16 +117,16 @@
 		{"not executed, no answer", port.RecordUnknown, false},
 		{"refused", port.RecordRefused, false},
 	} {
-		commander := newCommander(func(n int) (port.RecordStatus, bool, bool) { return c.answer, c.execute, n == 1 })
-		reply := submit(t, commander, "o", "t", "drain zone z", 0)
+		executor := newExecutor(func(n int) (port.RecordStatus, bool, bool) { return c.answer, c.execute, n == 1 })
+		reply := submit(t, executor, "o", "t", "drain zone z", 0)
 		if reply.Status != port.Accepted || reply.Revision != 2 {
 			t.Errorf("%s: %+v", c.name, reply)
 		}
-		repeated := submit(t, commander, "o", "t", "drain zone z", 0)
+		repeated := submit(t, executor, "o", "t", "drain zone z", 0)
 		if repeated.Status != port.Accepted || repeated.Revision != 2 {
 			t.Errorf("%s: repeated command: %+v", c.name, repeated)
 		}
-		if stored, _ := commander.Read(context.Background()); len(stored.Drains) != 1 {
+		if stored, _ := executor.Read(context.Background()); len(stored.Drains) != 1 {
 			t.Errorf("%s: stored configuration: %v", c.name, stored)
 		}
 	}
@@ -162,18 +162,18 @@
 	delayed      bool
 }
 
-func (l *delayingStore) Commit(ctx context.Context, transaction port.RecordTransaction) port.RecordResult {
-	if !l.delayed {
-		l.delayed = true
-		l.onDelayed(func() { l.RecordStore.Commit(time.Now(), transaction) })
-		l.afterDelayed()
+func (s *delayingStore) Commit(ctx context.Context, transaction port.RecordTransaction) port.RecordResult {
+	if !s.delayed {
+		s.delayed = true
+		s.onDelayed(func() { s.RecordStore.Commit(time.Now(), transaction) })
+		s.afterDelayed()
 		return port.RecordResult{Status: port.RecordUnknown}
 	}
-	return l.faultyStore.Commit(ctx, transaction)
+	return s.faultyStore.Commit(ctx, transaction)
 }
 
 func TestUnansweredCommandIsUndecided(t *testing.T) {
-	c := newCommander(func(int) (port.RecordStatus, bool, bool) { return port.RecordUnknown, false, true })
+	c := newExecutor(func(int) (port.RecordStatus, bool, bool) { return port.RecordUnknown, false, true })
 	parsed, err := statement.ParseOne("drain zone z")
 	if err != nil {
 		t.Fatal(err)
@@ -187,7 +187,7 @@
 }
 
 func TestExplainChangesNothing(t *testing.T) {
-	c := newCommander(nil)
+	c := newExecutor(nil)
 	reply := submit(t, c, "o", "t", "explain drain zone z", 0)
 	stored, _ := c.Read(context.Background())
 	if len(reply.Rows) != 1 || stored.Revision != firstRevision {
