--- a/internal/version/routes/homes.go
+++ b/internal/version/routes/allowed_regions.go
@@ -7,27 +7,27 @@
 // route is from another version of the configuration, the restrictions of this version's route of
 // the same name apply as well.
 func (t *Table) Homes(route *port.Route, tenant string) port.AllowedRegions {
-	homes := t.homes[tenant]
+	allowed := t.allowedRegions[tenant]
 	if route == nil {
-		return homes
+		return allowed
 	}
-	homes = homes.Intersect(port.NewAllowedRegions(route.AllowedRegions))
+	allowed = allowed.Intersect(port.NewAllowedRegions(route.AllowedRegions))
 	if newer := t.RouteByName(route.Name); newer != nil && newer != route {
-		homes = homes.Intersect(port.NewAllowedRegions(newer.AllowedRegions))
+		allowed = allowed.Intersect(port.NewAllowedRegions(newer.AllowedRegions))
 	}
-	return homes
+	return allowed
 }
 
 // RouteByName returns the route with the given name, or nil.
 func (t *Table) RouteByName(name string) *port.Route { return t.byName[name] }
 
-// homesByTenant returns the home regions of the tenants that have any.
-func homesByTenant(tenants []port.Tenant) map[string]port.AllowedRegions {
-	homes := map[string]port.AllowedRegions{}
+// allowedRegionsByTenant returns the allowed regions of the tenants that restrict them.
+func allowedRegionsByTenant(tenants []port.Tenant) map[string]port.AllowedRegions {
+	allowed := map[string]port.AllowedRegions{}
 	for _, tenant := range tenants {
 		if len(tenant.AllowedRegions) > 0 {
-			homes[tenant.Name] = port.NewAllowedRegions(tenant.AllowedRegions)
+			allowed[tenant.Name] = port.NewAllowedRegions(tenant.AllowedRegions)
 		}
 	}
-	return homes
+	return allowed
 }
--- a/internal/version/routes/homes_test.go
+++ b/internal/version/routes/allowed_regions_test.go
@@ -13,7 +13,7 @@
 	})
 }
 
-func TestHomesOfRouteAndTenant(t *testing.T) {
+func TestAllowedRegionsOfRouteAndTenant(t *testing.T) {
 	table := newTable(1, "south", "west")
 	route := table.Match("h", "/x")
 	for _, c := range []struct {
@@ -30,16 +30,16 @@
 	}
 }
 
-// TestHomesChangeDuringRequest checks that a request in progress is restricted by both its own and
+// TestAllowedRegionsChangeDuringRequest checks that a request in progress is restricted by both its own and
 // the current version of its route.
-func TestHomesChangeDuringRequest(t *testing.T) {
+func TestAllowedRegionsChangeDuringRequest(t *testing.T) {
 	olderRoute := newTable(1).Match("h", "/x")
 	narrowed := newTable(2, "north")
-	if homes := narrowed.Homes(olderRoute, ""); !homes.Allows("north") || homes.Allows("south") {
-		t.Errorf("homes after narrowing: %+v", homes)
+	if allowed := narrowed.Homes(olderRoute, ""); !allowed.Allows("north") || allowed.Allows("south") {
+		t.Errorf("allowed regions after narrowing: %+v", allowed)
 	}
 	restricted := newTable(1, "north").Match("h", "/x")
-	if homes := newTable(2).Homes(restricted, ""); !homes.Allows("north") || homes.Allows("south") {
-		t.Errorf("homes after widening: %+v", homes)
+	if allowed := newTable(2).Homes(restricted, ""); !allowed.Allows("north") || allowed.Allows("south") {
+		t.Errorf("allowed regions after widening: %+v", allowed)
 	}
 }
--- a/internal/version/routes/routes.go
+++ b/internal/version/routes/routes.go
@@ -21,8 +21,8 @@
 	// tenants holds the tenants' names by the digests of their API keys, or is nil if no tenants
 	// are configured.
 	tenants map[port.KeyDigest]string
-	// homes holds the home regions of the tenants that have any, by the tenants' names.
-	homes map[string]port.AllowedRegions
+	// allowedRegions holds the allowed regions of the tenants that restrict them, by the tenants' names.
+	allowedRegions map[string]port.AllowedRegions
 }
 
 // New returns the table for a version of the configuration.
@@ -30,7 +30,7 @@
 	table := &Table{version: from.Version, byHost: map[string][]*port.Route{}, byName: map[string]*port.Route{}, services: map[string]port.Service{}, limits: from.Limits}
 	for i := range from.Routes {
 		route := &from.Routes[i]
-		host := normalHost(route.Host)
+		host := normalizeHost(route.Host)
 		table.byHost[host] = append(table.byHost[host], route)
 		table.byName[route.Name] = route
 	}
@@ -41,7 +41,7 @@
 		table.services[service.Name] = service
 	}
 	table.tenants = tenantsByKey(from.Tenants)
-	table.homes = homesByTenant(from.Tenants)
+	table.allowedRegions = allowedRegionsByTenant(from.Tenants)
 	return table
 }
 
@@ -107,7 +107,7 @@
 
 // Match returns the route of a host with the longest matching path prefix, or nil.
 func (t *Table) Match(host, path string) *port.Route {
-	for _, route := range t.byHost[normalHost(host)] {
+	for _, route := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -115,15 +115,16 @@
 	return nil
 }
 
-// normalHost removes the port and converts the host to lower case.
-func normalHost(host string) string {
+// normalizeHost removes the port and converts the host to lower case.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Steps by the golden ratio, modulo 1, cover the unit interval evenly.
+// goldenRatio is the step of the Splitter's sequence. Its multiples modulo 1 cover the unit interval
+// evenly.
 const goldenRatio = 0.6180339887498949
 
 // Splitter distributes the requests of each route to its backends by weight. It uses a
