--- a/internal/request/access/access.go
+++ b/internal/request/access/access.go
@@ -9,7 +9,7 @@
 
 // maxKeyAge is the maximum age of the configuration by which a key can be rejected as unknown. A node
 // with an older configuration may not have received a new key yet, so the caller is referred to another
-// node. It is four times the age that the configuration reaches while the store is available.
+// node.
 const maxKeyAge = 3200 * time.Millisecond
 
 // Tenants looks up tenants in one version of the configuration.
@@ -32,7 +32,7 @@
 	// Key is the digest of the API key, valid if HasKey is set.
 	Key    port.KeyDigest
 	HasKey bool
-	// Anonymous tells that the call requires no key.
+	// Anonymous reports that the call requires no key.
 	Anonymous bool
 }
 
@@ -40,7 +40,7 @@
 type Caller struct {
 	// Tenant is the caller's tenant, empty without a key or without tenants.
 	Tenant string
-	// TenantsConfigured tells that tenants are configured.
+	// TenantsConfigured reports that tenants are configured.
 	TenantsConfigured bool
 }
 
@@ -72,19 +72,19 @@
 	if !tenants.HasTenants() {
 		return Caller{}, Admitted
 	}
-	who, known := Caller{TenantsConfigured: true}, false
+	caller, known := Caller{TenantsConfigured: true}, false
 	if call.HasKey {
-		who.Tenant, known = tenants.Tenant(call.Key)
+		caller.Tenant, known = tenants.Tenant(call.Key)
 	}
 	switch {
 	case known && p.Strict && age >= p.Revocation:
-		return who, Unconfirmed
+		return caller, Unconfirmed
 	case known || call.Anonymous:
-		return who, Admitted
+		return caller, Admitted
 	case !call.HasKey:
-		return who, NoKey
+		return caller, NoKey
 	case age > maxKeyAge:
-		return who, Unconfirmed
+		return caller, Unconfirmed
 	}
-	return who, UnknownKey
+	return caller, UnknownKey
 }
--- a/internal/request/access/access_test.go
+++ b/internal/request/access/access_test.go
@@ -50,24 +50,24 @@
 		{"unknown key on an anonymous call", Policy{}, red, anonymous(unknown), time.Hour, "", Admitted},
 		{"no keys configured", Policy{}, keys{}, known, 0, "", UnknownKey},
 	} {
-		who, verdict := c.policy.Authenticate(c.tenants, c.call, c.age)
-		if who.Tenant != c.tenant || verdict != c.verdict || who.TenantsConfigured != (c.tenants != nil) {
-			t.Errorf("%s: got %+v, verdict %d, want %q, %d", c.name, who, verdict, c.tenant, c.verdict)
+		caller, verdict := c.policy.Authenticate(c.tenants, c.call, c.age)
+		if caller.Tenant != c.tenant || verdict != c.verdict || caller.TenantsConfigured != (c.tenants != nil) {
+			t.Errorf("%s: got %+v, verdict %d, want %q, %d", c.name, caller, verdict, c.tenant, c.verdict)
 		}
 	}
 }
 
 func TestMayAccess(t *testing.T) {
 	for _, c := range []struct {
-		who    Caller
+		caller Caller
 		tenant string
-		may    bool
+		want   bool
 	}{
 		{Caller{}, "red", true}, {Caller{TenantsConfigured: true, Tenant: "red"}, "red", true}, {Caller{TenantsConfigured: true, Tenant: "red"}, "blue", false},
 		{Caller{TenantsConfigured: true}, "blue", false}, {Caller{TenantsConfigured: true}, "", true},
 	} {
-		if c.who.MayAccess(c.tenant) != c.may {
-			t.Errorf("%+v may use %q: want %t", c.who, c.tenant, c.may)
+		if c.caller.MayAccess(c.tenant) != c.want {
+			t.Errorf("%+v may access %q: want %t", c.caller, c.tenant, c.want)
 		}
 	}
 }
--- a/internal/request/query/query.go
+++ b/internal/request/query/query.go
@@ -81,7 +81,7 @@
 func matches(q *port.Query, columns, row []string) bool {
 	for _, comparison := range q.Where {
 		index := slices.Index(columns, comparison.Column)
-		if index < 0 || index >= len(row) || !holds(row[index], comparison.Operator, comparison.Value) {
+		if index < 0 || index >= len(row) || !satisfies(row[index], comparison.Operator, comparison.Value) {
 			return false
 		}
 	}
@@ -98,7 +98,7 @@
 	return strings.Compare(left, right)
 }
 
-func holds(left, operator, right string) bool {
+func satisfies(left, operator, right string) bool {
 	c := Compare(left, right)
 	switch operator {
 	case "=":
--- a/internal/request/query/query_test.go
+++ b/internal/request/query/query_test.go
@@ -34,9 +34,9 @@
 			t.Errorf("%+v: got %s, want %s", c.query, got, c.want)
 		}
 	}
-	for _, bad := range []port.Query{{Subject: "gnomes"}, {Subject: "nodes", OrderBy: "colour"}, {Subject: "nodes", CountBy: "x"}} {
-		if Check(&bad) == nil {
-			t.Errorf("%+v: want an error", bad)
+	for _, invalid := range []port.Query{{Subject: "unknown"}, {Subject: "nodes", OrderBy: "unknown"}, {Subject: "nodes", CountBy: "unknown"}} {
+		if Check(&invalid) == nil {
+			t.Errorf("%+v: want an error", invalid)
 		}
 	}
 }
--- a/internal/request/relay/relay.go
+++ b/internal/request/relay/relay.go
@@ -121,7 +121,7 @@
 func (r *Relay) Pending() bool { return r.open > 0 }
 
 // LimitAttempts lowers the maximum number of attempts.
-func (r *Relay) LimitAttempts(most int) { r.maxAttempts = min(r.maxAttempts, most) }
+func (r *Relay) LimitAttempts(limit int) { r.maxAttempts = min(r.maxAttempts, limit) }
 
 // RecordLaunch records that an attempt was started.
 func (r *Relay) RecordLaunch(now time.Time) {
--- a/internal/request/relay/relay_test.go
+++ b/internal/request/relay/relay_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// If the remaining replicas are evacuated, the failure gives that reason and a longer Retry-After. A
-// request that may have run must not be answered with 503.
+// TestAllReplicasEvacuated checks that the failure gives the evacuation as its reason and a longer
+// Retry-After, and that a request that may have run is not answered with 503.
 func TestAllReplicasEvacuated(t *testing.T) {
 	route := port.Route{Kind: port.RouteNonIdempotent, MaxAttempts: 3, Timeout: ms(1000)}
 	for _, c := range []struct {
@@ -137,9 +137,9 @@
 		{"after a lost answer", []Outcome{NotRun, Broken}, http.StatusBadGateway, 0},
 	} {
 		r := New(start, &route, 0)
-		for _, one := range c.before {
+		for _, outcome := range c.before {
 			r.RecordLaunch(start)
-			r.RecordOutcome(one)
+			r.RecordOutcome(outcome)
 		}
 		r.RecordEvacuated()
 		got := r.Next(start)
--- a/internal/request/statement/statement_test.go
+++ b/internal/request/statement/statement_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestErrorsPoint(t *testing.T) {
+func TestErrorPositions(t *testing.T) {
 	cases := []struct {
 		text         string
 		line, column int
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestErrorsSayWhatWasExpected(t *testing.T) {
+func TestErrorsNameExpectedInput(t *testing.T) {
 	for text, want := range map[string]string{
 		"drain machine x":          "expected replica, node or zone",
 		"alter experiment e set 1": "expected a setting",
