--- a/internal/connection/upstream/late_test.go
+++ b/internal/connection/upstream/late_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A call whose deadline has passed while connecting must not be sent.
+// TestLateCallIsNotSent checks that a call whose deadline passed while connecting is not sent.
 func TestLateCallIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,8 +30,8 @@
 		Address: listener.Addr().String(), Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Late: func() bool { return true },
 	})
 	var failed *Error
-	if !errors.As(err, &failed) || failed.Sent || !errors.Is(err, errLate) {
-		t.Errorf("got error %v, want errLate and nothing sent", err)
+	if !errors.As(err, &failed) || failed.Sent || !errors.Is(err, errDeadlinePassed) {
+		t.Errorf("got error %v, want errDeadlinePassed and nothing sent", err)
 	}
 	if count := <-read; count > 0 {
 		t.Error("the late call was written to the connection")
--- a/internal/connection/upstream/refuses_test.go
+++ b/internal/connection/upstream/refuses_test.go
@@ -22,9 +22,9 @@
 	if !client.RefusesConnections(context.Background(), address) {
 		t.Error("RefusesConnections is false for an address without a listener")
 	}
-	left, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if client.RefusesConnections(left, address) {
+	if client.RefusesConnections(cancelled, address) {
 		t.Error("RefusesConnections is true although the context was cancelled")
 	}
 }
--- a/internal/connection/upstream/silent_test.go
+++ b/internal/connection/upstream/silent_test.go
@@ -9,19 +9,19 @@
 	"github.com/doorstep/doorstep/platform/platformtest"
 )
 
-// If no connection can be established, the call fails early enough for another attempt and reports that
-// nothing was sent.
+// TestUnreachableAddressLeavesTime checks that, if no connection can be established, the call fails early
+// enough for another attempt and reports that nothing was sent.
 func TestUnreachableAddressLeavesTime(t *testing.T) {
-	silent, err := platformtest.NewBlackholeListener()
+	blackhole, err := platformtest.NewBlackholeListener()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer blackhole.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 1200*time.Millisecond)
 	defer cancel()
 	client := New()
 	client.ReserveRetryTime = true
-	_, err = client.Do(ctx, &Call{Address: silent.Address, Method: "GET", Target: "/", Host: "h"})
+	_, err = client.Do(ctx, &Call{Address: blackhole.Address, Method: "GET", Target: "/", Host: "h"})
 	var failed *Error
 	if !errors.As(err, &failed) || failed.Sent {
 		t.Fatalf("got error %v, want one with nothing sent", err)
--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -26,8 +26,7 @@
 	dialTimeout    = 700 * time.Millisecond
 	dialFraction   = 3
 	minDialTimeout = 150 * time.Millisecond
-	// refusalTimeout is how long RefusesConnections waits for a connection to be refused: a round trip,
-	// and the same again for a busy machine.
+	// refusalTimeout is how long RefusesConnections waits for a connection to be refused.
 	refusalTimeout = 100 * time.Millisecond
 	// unackedTimeout is how long sent data may remain unacknowledged.
 	unackedTimeout = 2 * time.Second
@@ -42,13 +41,13 @@
 	idleMargin         = 500 * time.Millisecond
 	// maxInlineBody is the largest body written before the answer is read.
 	maxInlineBody = 16 << 10
-	// maxSurplusBody is the largest body of a mismatched answer that is drained.
-	maxSurplusBody = 64 << 10
+	// maxMismatchedBody is the largest body of a mismatched answer that is drained.
+	maxMismatchedBody = 64 << 10
 	// tcpUserTimeout is the TCP_USER_TIMEOUT socket option on Linux.
 	tcpUserTimeout = 18
 )
 
-// Error is a failed attempt. Sent tells whether any byte of the request may have reached the replica;
+// Error is a failed attempt. Sent reports whether any byte of the request may have reached the replica;
 // if not, the request did not run.
 type Error struct {
 	Sent bool
@@ -63,8 +62,8 @@
 // errMismatchedAnswer is returned if an answer has no request ID or that of another request.
 var errMismatchedAnswer = errors.New("answer has a missing or mismatched request ID")
 
-// errLate is returned if a call was not sent because its deadline had passed.
-var errLate = errors.New("deadline passed before the call was sent")
+// errDeadlinePassed is returned if a call was not sent because its deadline had passed.
+var errDeadlinePassed = errors.New("deadline passed before the call was sent")
 
 // Call is one attempt.
 type Call struct {
@@ -118,7 +117,7 @@
 	reuse       bool
 	stop        func() bool
 	bodyWritten chan error
-	whole       bool
+	complete    bool
 }
 
 // Do sends a call and reads the header of its answer. The context covers the whole exchange: when it
@@ -130,7 +129,7 @@
 	}
 	if call.Late != nil && call.Late() {
 		_ = conn.Close()
-		return nil, &Error{Err: errLate}
+		return nil, &Error{Err: errDeadlinePassed}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	answer, err := c.exchange(conn, call)
@@ -178,11 +177,11 @@
 }
 
 // nextAnswer discards one mismatched answer and reads the next one.
-func nextAnswer(conn *connection, surplus *http.Response, request *http.Request) (*http.Response, error) {
-	if surplus.Close || !framed(surplus) {
+func nextAnswer(conn *connection, mismatched *http.Response, request *http.Request) (*http.Response, error) {
+	if mismatched.Close || !framed(mismatched) {
 		return nil, errMismatchedAnswer
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(surplus.Body, maxSurplusBody)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(mismatched.Body, maxMismatchedBody)); err != nil {
 		return nil, err
 	}
 	return http.ReadResponse(conn.reader, request)
@@ -220,7 +219,7 @@
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
@@ -237,7 +236,7 @@
 			written = false
 		}
 	}
-	if a.whole && a.reuse && written && a.conn.reader.Buffered() == 0 {
+	if a.complete && a.reuse && written && a.conn.reader.Buffered() == 0 {
 		a.client.keep(a.conn, a.Header)
 		return
 	}
@@ -370,17 +369,17 @@
 // CloseIdle closes the idle connections to an address.
 func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
-	gone := c.idle[address]
+	closing := c.idle[address]
 	delete(c.idle, address)
 	c.mu.Unlock()
-	for _, conn := range gone {
+	for _, conn := range closing {
 		_ = conn.Close()
 	}
 }
 
 // CloseExpired closes idle connections whose timeout has expired.
 func (c *Client) CloseExpired(now time.Time) {
-	var gone []*connection
+	var closing []*connection
 	c.mu.Lock()
 	for address, kept := range c.idle {
 		fresh := kept[:0]
@@ -389,7 +388,7 @@
 				fresh = append(fresh, conn)
 				continue
 			}
-			gone = append(gone, conn)
+			closing = append(closing, conn)
 		}
 		c.idle[address] = fresh
 		if len(fresh) == 0 {
@@ -397,7 +396,7 @@
 		}
 	}
 	c.mu.Unlock()
-	for _, conn := range gone {
+	for _, conn := range closing {
 		_ = conn.Close()
 	}
 }
