--- a/api/doorstep/v1/compatibility_test.go
+++ b/api/doorstep/v1/compatibility_test.go
@@ -14,12 +14,12 @@
 	doorstepv1 "github.com/doorstep/doorstep/api/doorstep/v1"
 )
 
-// productionFile holds the descriptors of the records as the build has them that deploy/system.toml names
-// as production: a FileDescriptorSet, taken from that build's registry.
+// productionFile holds a FileDescriptorSet with the record descriptors of the build that
+// deploy/system.toml names as production.
 const productionFile = "testdata/production.binpb"
 
-// laterField is the number of a field that no build has yet.
-const laterField = 19_999
+// unknownField is a field number that no build uses.
+const unknownField = 19_999
 
 func productionMessages(t *testing.T) []protoreflect.MessageDescriptor {
 	t.Helper()
@@ -48,59 +48,60 @@
 	return messages
 }
 
-// today returns this build's message of a name.
-func today(t *testing.T, name protoreflect.FullName) protoreflect.MessageType {
+// currentType returns this build's type of a message.
+func currentType(t *testing.T, name protoreflect.FullName) protoreflect.MessageType {
 	t.Helper()
 	found, err := protoregistry.GlobalTypes.FindMessageByName(name)
 	if err != nil {
-		t.Fatalf("%s: nodes of the production build still write it: %v", name, err)
+		t.Fatalf("%s is missing, but the production build writes it: %v", name, err)
 	}
 	return found
 }
 
-// TestFieldsOfProductionStand: while builds run side by side, a field has one meaning and one number.
+// TestFieldsOfProductionStand checks that no field of the production build was removed, renumbered, renamed
+// or given another type, since both builds run side by side during an upgrade.
 func TestFieldsOfProductionStand(t *testing.T) {
 	for _, message := range productionMessages(t) {
-		fields := today(t, message.FullName()).Descriptor().Fields()
+		fields := currentType(t, message.FullName()).Descriptor().Fields()
 		for i := range message.Fields().Len() {
-			was := message.Fields().Get(i)
-			is := fields.ByNumber(was.Number())
-			if is == nil || is.Name() != was.Name() || is.Kind() != was.Kind() || is.Cardinality() != was.Cardinality() || is.IsMap() != was.IsMap() {
-				t.Errorf("%s has another field %d than the production build, which has %s", message.FullName(), was.Number(), was.Name())
+			old := message.Fields().Get(i)
+			current := fields.ByNumber(old.Number())
+			if current == nil || current.Name() != old.Name() || current.Kind() != old.Kind() || current.Cardinality() != old.Cardinality() || current.IsMap() != old.IsMap() {
+				t.Errorf("%s: field %d (%s in the production build) was removed or changed", message.FullName(), old.Number(), old.Name())
 			}
 		}
 	}
 }
 
-// TestRecordsSurviveProduction: a record that this build writes, which the production build reads, changes
-// and writes back, holds what this build put there, also in fields that the other does not know.
+// TestRecordsSurviveProduction checks that a record of this build loses no field when the production build
+// reads it and writes it back, including fields that the production build does not know.
 func TestRecordsSurviveProduction(t *testing.T) {
 	for _, message := range productionMessages(t) {
-		written := today(t, message.FullName()).New()
+		written := currentType(t, message.FullName()).New()
 		fill(written, 3)
 		content := encode(t, written.Interface())
 
-		elsewhere := dynamicpb.NewMessage(message)
-		decode(t, content, elsewhere)
-		back := today(t, message.FullName()).New().Interface()
-		decode(t, encode(t, proto.Clone(elsewhere)), back)
-		if !proto.Equal(written.Interface(), back) {
-			t.Errorf("%s: written %v, back from the production build %v", message.FullName(), written, back)
+		inProduction := dynamicpb.NewMessage(message)
+		decode(t, content, inProduction)
+		returned := currentType(t, message.FullName()).New().Interface()
+		decode(t, encode(t, proto.Clone(inProduction)), returned)
+		if !proto.Equal(written.Interface(), returned) {
+			t.Errorf("%s: wrote %v, got %v after the production build rewrote it", message.FullName(), written, returned)
 		}
 	}
 }
 
-// TestRecordsOfALaterBuildAreKept: this build in its turn keeps what a later one adds.
+// TestRecordsOfALaterBuildAreKept checks that this build keeps fields that a later build adds.
 func TestRecordsOfALaterBuildAreKept(t *testing.T) {
 	_ = doorstepv1.Configuration{}
 	for _, message := range productionMessages(t) {
-		later := today(t, message.FullName()).New()
+		later := currentType(t, message.FullName()).New()
 		fill(later, 3)
 		later.SetUnknown(protoreflect.RawFields{0xfa, 0xe1, 0x09, 0x01, 'x'})
-		read := today(t, message.FullName()).New().Interface()
+		read := currentType(t, message.FullName()).New().Interface()
 		decode(t, encode(t, later.Interface()), read)
 		if got := proto.Clone(read).ProtoReflect().GetUnknown(); len(got) == 0 {
-			t.Errorf("%s: field %d of a later build is lost", message.FullName(), laterField)
+			t.Errorf("%s: unknown field %d was lost", message.FullName(), unknownField)
 		}
 	}
 }
@@ -121,9 +122,9 @@
 	}
 }
 
-// fill sets every field of a message, and those of the messages in it, so many levels deep.
-func fill(message protoreflect.Message, levels int) {
-	if levels == 0 {
+// fill sets every field of a message and of its nested messages, up to the given depth.
+func fill(message protoreflect.Message, depth int) {
+	if depth == 0 {
 		return
 	}
 	fields := message.Descriptor().Fields()
@@ -134,33 +135,33 @@
 			entries := message.Mutable(field).Map()
 			value := entries.NewValue()
 			if field.MapValue().Message() != nil {
-				fill(value.Message(), levels-1)
+				fill(value.Message(), depth-1)
 			}
-			entries.Set(scalar(field.MapKey()).MapKey(), valueOr(field.MapValue(), value))
+			entries.Set(scalar(field.MapKey()).MapKey(), elementValue(field.MapValue(), value))
 		case field.IsList():
 			list := message.Mutable(field).List()
 			value := list.NewElement()
 			if field.Message() != nil {
-				fill(value.Message(), levels-1)
+				fill(value.Message(), depth-1)
 			}
-			list.Append(valueOr(field, value))
+			list.Append(elementValue(field, value))
 		case field.Message() != nil:
-			fill(message.Mutable(field).Message(), levels-1)
+			fill(message.Mutable(field).Message(), depth-1)
 		default:
 			message.Set(field, scalar(field))
 		}
 	}
 }
 
-// valueOr returns a message that was filled, or a scalar of the field's kind.
-func valueOr(field protoreflect.FieldDescriptor, filled protoreflect.Value) protoreflect.Value {
+// elementValue returns filled if the field holds messages, and a scalar of the field's kind otherwise.
+func elementValue(field protoreflect.FieldDescriptor, filled protoreflect.Value) protoreflect.Value {
 	if field.Message() != nil {
 		return filled
 	}
 	return scalar(field)
 }
 
-// scalar returns a value of a field's kind other than its zero value.
+// scalar returns a non-zero value of the field's kind.
 func scalar(field protoreflect.FieldDescriptor) protoreflect.Value {
 	switch field.Kind() {
 	case protoreflect.BoolKind:
@@ -182,7 +183,7 @@
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(7)
 	case protoreflect.MessageKind, protoreflect.GroupKind:
-		panic("a message is no scalar")
+		panic("scalar called for a message field")
 	default:
 		return protoreflect.ValueOfInt64(7)
 	}
