--- a/internal/process/cluster/homes.go
+++ b/internal/process/cluster/homes.go
@@ -14,7 +14,7 @@
 	if n.routes == nil {
 		return port.AllowedRegions{}
 	}
-	return n.routes.Homes(route, tenant)
+	return n.routes.AllowedRegions(route, tenant)
 }
 
 // HasAllowedReplica reports whether an allowed region has a replica for a request. If not, the request cannot be served
--- a/internal/version/routes/allowed_regions.go
+++ b/internal/version/routes/allowed_regions.go
@@ -2,11 +2,11 @@
 
 import "github.com/doorstep/doorstep/internal/port"
 
-// Homes returns the regions in which requests of a route and a tenant may be served and stored.
+// AllowedRegions returns the regions in which requests of a route and a tenant may be served and stored.
 // Both the route's and the tenant's restrictions apply. route may be nil and tenant empty. If the
 // route is from another version of the configuration, the restrictions of this version's route of
 // the same name apply as well.
-func (t *Table) Homes(route *port.Route, tenant string) port.AllowedRegions {
+func (t *Table) AllowedRegions(route *port.Route, tenant string) port.AllowedRegions {
 	allowed := t.allowedRegions[tenant]
 	if route == nil {
 		return allowed
--- a/internal/version/routes/allowed_regions_test.go
+++ b/internal/version/routes/allowed_regions_test.go
@@ -24,7 +24,7 @@
 		{route, "red", "south", true}, {route, "red", "west", false}, {route, "red", "north", false},
 		{route, "blue", "west", true}, {route, "", "north", false}, {nil, "red", "north", true}, {nil, "blue", "west", true},
 	} {
-		if got := table.Homes(c.route, c.tenant).Allows(c.region); got != c.allowed {
+		if got := table.AllowedRegions(c.route, c.tenant).Allows(c.region); got != c.allowed {
 			t.Errorf("route %t, tenant %q, %s: allowed %t", c.route != nil, c.tenant, c.region, got)
 		}
 	}
@@ -35,11 +35,11 @@
 func TestAllowedRegionsChangeDuringRequest(t *testing.T) {
 	olderRoute := newTable(1).Match("h", "/x")
 	narrowed := newTable(2, "north")
-	if allowed := narrowed.Homes(olderRoute, ""); !allowed.Allows("north") || allowed.Allows("south") {
+	if allowed := narrowed.AllowedRegions(olderRoute, ""); !allowed.Allows("north") || allowed.Allows("south") {
 		t.Errorf("allowed regions after narrowing: %+v", allowed)
 	}
 	restricted := newTable(1, "north").Match("h", "/x")
-	if allowed := newTable(2).Homes(restricted, ""); !allowed.Allows("north") || allowed.Allows("south") {
+	if allowed := newTable(2).AllowedRegions(restricted, ""); !allowed.Allows("north") || allowed.Allows("south") {
 		t.Errorf("allowed regions after widening: %+v", allowed)
 	}
 }
