--- a/internal/request/statement/statement.go
+++ b/internal/request/statement/statement.go
@@ -15,8 +15,8 @@
 	"github.com/doorstep/doorstep/internal/port"
 )
 
-// MaximumLength is the maximum length of the text in bytes.
-const MaximumLength = 16 << 10
+// MaxLength is the maximum length of the text in bytes.
+const MaxLength = 16 << 10
 
 // Statement is a parsed query or command.
 type Statement struct {
@@ -153,8 +153,8 @@
 
 // Parse parses statements separated by semicolons.
 func Parse(text string) ([]Statement, error) {
-	if len(text) > MaximumLength {
-		return nil, &Error{Line: 1, Column: 1, Message: fmt.Sprintf("text of %d bytes exceeds the maximum of %d bytes", len(text), MaximumLength)}
+	if len(text) > MaxLength {
+		return nil, &Error{Line: 1, Column: 1, Message: fmt.Sprintf("text of %d bytes exceeds the maximum of %d bytes", len(text), MaxLength)}
 	}
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
