--- a/internal/connection/upstream/late_test.go
+++ b/internal/connection/upstream/late_test.go
@@ -27,7 +27,7 @@
 		read <- count
 	}()
 	_, err = New().Do(context.Background(), &Call{
-		Address: listener.Addr().String(), Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Late: func() bool { return true },
+		Address: listener.Addr().String(), Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, DeadlinePassed: func() bool { return true },
 	})
 	var failed *Error
 	if !errors.As(err, &failed) || failed.Sent || !errors.Is(err, errDeadlinePassed) {
--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -77,9 +77,9 @@
 	ID string
 	// IDOf returns the request ID of an answer.
 	IDOf func(http.Header) string
-	// Late, if set, is called right before the first byte is written and reports whether it is too late
+	// DeadlinePassed, if set, is called right before the first byte is written and reports whether it is too late
 	// to send the call.
-	Late func() bool
+	DeadlinePassed func() bool
 }
 
 // Client is a pool of connections to replicas.
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, &Error{Err: err}
 	}
-	if call.Late != nil && call.Late() {
+	if call.DeadlinePassed != nil && call.DeadlinePassed() {
 		_ = conn.Close()
 		return nil, &Error{Err: errDeadlinePassed}
 	}
--- a/internal/process/agent/exchange.go
+++ b/internal/process/agent/exchange.go
@@ -221,7 +221,7 @@
 	x.agent.protocol.SetReplicaAndDeadline(header, chosen.ID, left)
 	return &upstream.Call{
 		Address: chosen.Address, Method: x.request.Method, Target: target(x.request), Host: x.request.Host,
-		Header: header, Body: x.body, ID: x.id, IDOf: x.agent.protocol.RequestID, Late: x.agent.pastDeadline(x.sendBy),
+		Header: header, Body: x.body, ID: x.id, IDOf: x.agent.protocol.RequestID, DeadlinePassed: x.agent.pastDeadline(x.sendBy),
 	}
 }
 
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -51,7 +51,7 @@
 	startedAt := time.Now()
 	answer, err := a.upstream.Do(ctx, &upstream.Call{
 		Address: t.Address, Method: http.MethodPost, Target: t.Target, Host: t.Host, Header: header, Body: t.Body,
-		ID: t.Item, IDOf: a.protocol.RequestID, Late: a.pastDeadline(t.SendBy),
+		ID: t.Item, IDOf: a.protocol.RequestID, DeadlinePassed: a.pastDeadline(t.SendBy),
 	})
 	if err != nil {
 		if ctx.Err() != nil {
--- a/internal/process/agent/scoring.go
+++ b/internal/process/agent/scoring.go
@@ -19,7 +19,7 @@
 	startedAt := time.Now()
 	ended := a.doBuffered(ctx, &upstream.Call{
 		Address: t.Address, Method: http.MethodPost, Target: t.Target, Host: t.Host, Header: header, Body: t.Body,
-		ID: t.Request, IDOf: a.protocol.RequestID, Late: a.pastDeadline(t.SendBy),
+		ID: t.Request, IDOf: a.protocol.RequestID, DeadlinePassed: a.pastDeadline(t.SendBy),
 	})
 	a.metrics.scoringCall(ended.outcome, time.Since(startedAt))
 	result := task.ScoringResult{Outcome: ended.outcome, Status: ended.status, Err: ended.err, Crashed: a.crashed(ctx, t.Address, ended.outcome)}
