--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -76,8 +76,8 @@
 
 // ColdStart limits the request rate of a replica that is warming up.
 type ColdStart struct {
-	// Lasts is the length of the warm-up after a replica's start.
-	Lasts time.Duration
+	// Duration is the length of the warm-up after a replica's start.
+	Duration time.Duration
 	// PerSecond is the request rate, from all nodes together, that a cold replica can handle.
 	PerSecond float64
 }
--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -62,7 +62,7 @@
 		return coldstart.Limit{}, false
 	}
 	service, _ := n.routes.Service(name)
-	if service.Cold == nil || service.Cold.Lasts <= 0 {
+	if service.Cold == nil || service.Cold.Duration <= 0 {
 		return coldstart.Limit{}, false
 	}
 	return coldstart.NewLimit(*service.Cold, n.options.Cold.Overshoot, n.options.Cold.Slack), true
--- a/internal/process/coldstart/coldstart.go
+++ b/internal/process/coldstart/coldstart.go
@@ -29,7 +29,7 @@
 
 // NewLimit returns the limit of a service, which allows overshoot times its rate plus slack in any second.
 func NewLimit(cold port.ColdStart, overshoot, slack float64) Limit {
-	return Limit{PerSecond: cold.PerSecond, MaxPerSecond: cold.PerSecond*max(overshoot, 1) + slack, Duration: cold.Lasts}
+	return Limit{PerSecond: cold.PerSecond, MaxPerSecond: cold.PerSecond*max(overshoot, 1) + slack, Duration: cold.Duration}
 }
 
 // WindowCapacity returns the number of requests that a window grants. Any second overlaps at most two windows, so each
--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -16,7 +16,7 @@
 var (
 	epoch = time.Unix(1_000_000, 0)
 	// limit allows 18 requests in any second.
-	limit = NewLimit(port.ColdStart{Lasts: 8 * time.Second, PerSecond: 9.3}, 1.5, 5)
+	limit = NewLimit(port.ColdStart{Duration: 8 * time.Second, PerSecond: 9.3}, 1.5, 5)
 )
 
 // gateGroup is a set of gates that share a store. Store calls are delayed or lost, and the gates' clocks differ.
--- a/internal/simulation/clustersim/check_cold.go
+++ b/internal/simulation/clustersim/check_cold.go
@@ -35,7 +35,7 @@
 func (w *World) coldStart() *port.ColdStart {
 	for _, fault := range w.options.Faults {
 		if slices.Contains(coldFaults, fault.Name) {
-			return &port.ColdStart{Lasts: coldLasts, PerSecond: coldPerSecond}
+			return &port.ColdStart{Duration: coldLasts, PerSecond: coldPerSecond}
 		}
 	}
 	return nil
