--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -86,8 +86,8 @@
 type Scaling struct {
 	// Min and Max bound the total number of replicas in each zone.
 	Min, Max int
-	// Boot is how long a new replica takes until it serves requests.
-	Boot time.Duration
+	// StartupTime is how long a new replica takes until it serves requests.
+	StartupTime time.Duration
 	// Prices are the relative costs of a replica in each zone where the service may run.
 	Prices map[string]float64
 }
--- a/internal/version/scaling/scaling.go
+++ b/internal/version/scaling/scaling.go
@@ -213,8 +213,8 @@
 // could have started.
 func (s *Scaler) order(now time.Time, service Service, zone Zone, target int) {
 	last := s.zoneStateOf(now, service, zone)
-	repeated := last.replicas == target && now.Sub(last.orderedAt) < service.Boot+startMargin
-	shrinking := target < last.replicas && now.Sub(last.orderedAt) < service.Boot+startMargin
+	repeated := last.replicas == target && now.Sub(last.orderedAt) < service.StartupTime+startMargin
+	shrinking := target < last.replicas && now.Sub(last.orderedAt) < service.StartupTime+startMargin
 	if last.requestPending || repeated || shrinking || now.Before(last.notBefore) || !s.options.Lease.TryAct(now, service.Name+"/"+zone.Name) {
 		return
 	}
--- a/internal/version/scaling/scaling_test.go
+++ b/internal/version/scaling/scaling_test.go
@@ -42,7 +42,7 @@
 		ObservedUntil: func(now time.Time) time.Time { return now },
 		Clock:         func(time.Time) (least, most time.Duration, known bool) { return 0, 0, true },
 	})
-	b.service = Service{Name: "s", Scaling: port.Scaling{Min: 1, Max: 12, Boot: boot}}
+	b.service = Service{Name: "s", Scaling: port.Scaling{Min: 1, Max: 12, StartupTime: boot}}
 	for i, replicas := range zones {
 		b.service.Zones = append(b.service.Zones, Zone{Name: string(rune('a' + i)), Replicas: replicas, Slots: 10})
 	}
