--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -70,8 +70,8 @@
 	MemoryTokens int
 	// Scaling bounds how many replicas may be ordered; nil if the service does not scale.
 	Scaling *Scaling
-	// Cold limits the load on newly started replicas; nil if they need no warm-up.
-	Cold *ColdStart
+	// ColdStart limits the load on newly started replicas; nil if they need no warm-up.
+	ColdStart *ColdStart
 }
 
 // ColdStart limits the request rate of a replica that is warming up.
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -287,7 +287,7 @@
 		return
 	}
 	n.routes = routes.New(table)
-	n.cold.limited = slices.ContainsFunc(table.Services, func(service port.Service) bool { return service.Cold != nil })
+	n.cold.limited = slices.ContainsFunc(table.Services, func(service port.Service) bool { return service.ColdStart != nil })
 	n.queue.Log(event.RoutesApplied, "version", table.Version, "routes", len(table.Routes), "services", len(table.Services),
 		"since_start_ms", now.Sub(n.startedAt).Milliseconds())
 }
--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -62,10 +62,10 @@
 		return coldstart.Limit{}, false
 	}
 	service, _ := n.routes.Service(name)
-	if service.Cold == nil || service.Cold.Duration <= 0 {
+	if service.ColdStart == nil || service.ColdStart.Duration <= 0 {
 		return coldstart.Limit{}, false
 	}
-	return coldstart.NewLimit(*service.Cold, n.options.Cold.Overshoot, n.options.Cold.Slack), true
+	return coldstart.NewLimit(*service.ColdStart, n.options.Cold.Overshoot, n.options.Cold.Slack), true
 }
 
 // learnCold updates how long a replica is cold from its record.
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -51,7 +51,7 @@
 		Name: "n", Topology: port.Topology{Zone: "z"}, Incarnation: 1, Decoder: coldDecoder{}, OrderPause: time.Second,
 		Cold: settings.Cold{Overshoot: 1.5, Slack: 5},
 	})
-	service := port.Service{Name: "s", Models: []string{"m"}, Cold: &port.ColdStart{Duration: coldLasts, PerSecond: coldPerSecond}}
+	service := port.Service{Name: "s", Models: []string{"m"}, ColdStart: &port.ColdStart{Duration: coldLasts, PerSecond: coldPerSecond}}
 	c.put("operator", "routes", &port.RouteTable{Version: 1, Routes: []port.Route{*coldRoute(port.RouteBatch)}, Services: []port.Service{service}})
 	c.Every(25*time.Millisecond, func() bool {
 		c.do(c.Tick)
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -178,7 +178,7 @@
 	} {
 		n := newNode()
 		n.applyRoutes(start, &port.RouteTable{Version: 1, Routes: []port.Route{*route}, Services: []port.Service{{
-			Name: "s", Cold: &port.ColdStart{Duration: coldLasts, PerSecond: coldPerSecond},
+			Name: "s", ColdStart: &port.ColdStart{Duration: coldLasts, PerSecond: coldPerSecond},
 		}}})
 		for _, id := range []string{"fast", "slow"} {
 			n.endpoints.Put(port.ReplicaRecord{ID: id, Service: "s", Slots: 4, Versions: map[string]int64{"m": 1}})
--- a/internal/simulation/clustersim/trainer.go
+++ b/internal/simulation/clustersim/trainer.go
@@ -53,7 +53,7 @@
 
 func newOperator(w *World) *operator {
 	o := &operator{world: w, targets: map[string]int64{}}
-	o.table = port.RouteTable{Version: 3, Services: []port.Service{{Name: generatorName, Models: models, Cold: w.coldStart()}, {Name: scorerName}}}
+	o.table = port.RouteTable{Version: 3, Services: []port.Service{{Name: generatorName, Models: models, ColdStart: w.coldStart()}, {Name: scorerName}}}
 	for _, name := range models {
 		o.table.Routes = append(o.table.Routes, port.Route{
 			Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: port.RouteBatch, MaxAttempts: maxAttempts, MaxQueue: maxQueue,
