--- a/internal/connection/upstream/upstream.go
+++ b/internal/connection/upstream/upstream.go
@@ -77,8 +77,8 @@
 	ID string
 	// IDOf returns the request ID of an answer.
 	IDOf func(http.Header) string
-	// DeadlinePassed, if set, is called right before the first byte is written and reports whether it is too late
-	// to send the call.
+	// DeadlinePassed, if set, is called right before the first byte is written. If it returns true, the call
+	// is not sent.
 	DeadlinePassed func() bool
 }
 
