--- a/internal/version/experiment/prompts.go
+++ b/internal/version/experiment/prompts.go
@@ -16,7 +16,7 @@
 var (
 	// ErrPromptsExist is returned if the set exists with other prompts. Prompt sets are immutable,
 	// because steps must remain reproducible.
-	ErrPromptsExist = errors.New("a prompt set of that name exists and holds other prompts: choose another name")
+	ErrPromptsExist = errors.New("a prompt set with this name already exists and has different prompts; choose another name")
 	// ErrStoreUnavailable is returned if the store did not answer.
 	ErrStoreUnavailable = errors.New("the store did not answer")
 	// ErrPromptTooLong is returned if a prompt does not fit into a record.
