--- a/internal/port/deployment.go
+++ b/internal/port/deployment.go
@@ -70,14 +70,14 @@
 	MemoryTokens int
 	// Scaling bounds how many replicas may be ordered; nil if the service does not scale.
 	Scaling *Scaling
-	// Cold limits the load on newly started replicas; nil if they need no warm-up.
-	Cold *ColdStart
+	// ColdStart limits the load on newly started replicas; nil if they need no warm-up.
+	ColdStart *ColdStart
 }
 
 // ColdStart limits the request rate of a replica that is warming up.
 type ColdStart struct {
-	// Lasts is the length of the warm-up after a replica's start.
-	Lasts time.Duration
+	// Duration is the length of the warm-up after a replica's start.
+	Duration time.Duration
 	// PerSecond is the request rate, from all nodes together, that a cold replica can handle.
 	PerSecond float64
 }
@@ -86,8 +86,8 @@
 type Scaling struct {
 	// Min and Max bound the total number of replicas in each zone.
 	Min, Max int
-	// Boot is how long a new replica takes until it serves requests.
-	Boot time.Duration
+	// StartupTime is how long a new replica takes until it serves requests.
+	StartupTime time.Duration
 	// Prices are the relative costs of a replica in each zone where the service may run.
 	Prices map[string]float64
 }
