--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -186,7 +186,7 @@
 const (
 	// tenant is the tenant of all clients, permanentKey the API key that all configurations contain.
 	tenant       = "houses"
-	permanentKey = "permanent-key"
+	permanentKey = "lasting-key"
 )
 
 // generationKey returns the API key that only one version of the configuration contains.
