--- a/internal/process/cluster/clock.go
+++ b/internal/process/cluster/clock.go
@@ -12,18 +12,18 @@
 }
 
 func (c *storeClock) observe(now, sentAt time.Time, reading time.Duration) {
-	least, most := reading-now.Sub(c.base), reading-sentAt.Sub(c.base)
+	lower, upper := reading-now.Sub(c.base), reading-sentAt.Sub(c.base)
 	if !c.known {
-		c.known, c.lower, c.upper = true, least, most
+		c.known, c.lower, c.upper = true, lower, upper
 		return
 	}
-	c.lower = max(c.lower, least)
-	c.upper = min(c.upper, most)
+	c.lower = max(c.lower, lower)
+	c.upper = min(c.upper, upper)
 }
 
 // bounds returns the lower and upper bound of the store's clock at now; known is false before the
 // first response.
-func (c *storeClock) bounds(now time.Time) (least, most time.Duration, known bool) {
+func (c *storeClock) bounds(now time.Time) (lower, upper time.Duration, known bool) {
 	since := now.Sub(c.base)
 	return c.lower + since, c.upper + since, c.known
 }
@@ -34,6 +34,6 @@
 
 // estimate returns the midpoint of the bounds at a time, false while they are too far apart.
 func (c *storeClock) estimate(at time.Time) (time.Duration, bool) {
-	least, most, known := c.bounds(at)
-	return (least + most) / 2, known && most-least <= maxClockUncertainty
+	lower, upper, known := c.bounds(at)
+	return (lower + upper) / 2, known && upper-lower <= maxClockUncertainty
 }
--- a/internal/process/cluster/cluster.go
+++ b/internal/process/cluster/cluster.go
@@ -129,7 +129,7 @@
 	n.jobs = batch.New(batch.Options{
 		Self: options.Name, Incarnation: options.Incarnation, Topology: options.Topology, Queue: n.queue, Random: n.random,
 		Place: n.placeItem, PlaceScoring: n.placeScoring, FindEndpoint: n.endpoints.Find, Route: n.Route, StoreClock: n.clock.bounds,
-		StoreLatency: n.Latency, NodeCount: n.NodeCount, Fitness: n.standing,
+		StoreLatency: n.Latency, NodeCount: n.NodeCount, Fitness: n.fitness,
 		LengthHint: options.Decoder.LengthHint, MaxEvents: n.maxEvents, ExpectedTokens: n.expectedTokens, ObservedUntil: n.sharedObservedUntil,
 		Quarantine: n.quarantine, Homes: n.jobHomes(),
 	})
--- a/internal/process/cluster/cold.go
+++ b/internal/process/cluster/cold.go
@@ -68,8 +68,8 @@
 	return coldstart.NewLimit(*service.Cold, n.options.Cold.Overshoot, n.options.Cold.Slack), true
 }
 
-// learnCold updates how long a replica is cold from its record.
-func (n *Node) learnCold(now time.Time, put endpoint.Change) {
+// updateColdState updates how long a replica is cold from its record.
+func (n *Node) updateColdState(now time.Time, put endpoint.Change) {
 	one := put.Endpoint
 	// Other nodes may still treat a replica that restarted under the same ID as warm.
 	wasWarm := !put.Added && !now.Before(one.ColdUntil) || put.Previous != nil && !now.Before(put.Previous.ColdUntil)
--- a/internal/process/cluster/cold_test.go
+++ b/internal/process/cluster/cold_test.go
@@ -336,20 +336,20 @@
 	}
 }
 
-// TestOwnersThatHaveNotHeardOfOneAnother checks that a new owner does not use a replica's whole bucket while an
+// TestNewOwnerWaitsForFullBucket checks that a new owner does not use a replica's whole bucket while an
 // owner with a stale view may still do so. Simulator seed 700359.
-func TestOwnersThatHaveNotHeardOfOneAnother(t *testing.T) {
-	whole := func(n *coldNode) bool { return n.sender(n.Now, n.endpoints.Find("r0"), true).Nodes == 1 }
+func TestNewOwnerWaitsForFullBucket(t *testing.T) {
+	hasFullBucket := func(n *coldNode) bool { return n.sender(n.Now, n.endpoints.Find("r0"), true).Nodes == 1 }
 	former := newColdNode()
 	former.own()
 	former.list("r0", 0)
 	former.run(2 * newOwnerPeriod)
-	if !whole(former) {
+	if !hasFullBucket(former) {
 		t.Fatal("the only owner does not have the whole bucket")
 	}
 	former.storeDown = true
 	cutAt := former.Now
-	for whole(former) && former.Now.Sub(cutAt) < time.Minute {
+	for hasFullBucket(former) && former.Now.Sub(cutAt) < time.Minute {
 		former.Step()
 	}
 	newcomer := newColdNode()
@@ -360,7 +360,7 @@
 		newcomer.Step()
 	}
 	ownsAt := newcomer.Now
-	for !whole(newcomer) && newcomer.Now.Sub(ownsAt) < time.Minute {
+	for !hasFullBucket(newcomer) && newcomer.Now.Sub(ownsAt) < time.Minute {
 		newcomer.Step()
 	}
 	until, from := former.Now.Sub(cutAt), newcomer.Now.Sub(ownsAt)
--- a/internal/process/cluster/coldclaim.go
+++ b/internal/process/cluster/coldclaim.go
@@ -80,7 +80,7 @@
 // ClaimCold claims a cold replica for a caller's request for which Choose found no replica, and reports
 // whether the route's services have a candidate. done receives the chosen replica, or nil with the time after
 // which to retry. waiting reports whether the caller still waits.
-func (n *Node) ClaimCold(now time.Time, route *port.Route, tenant, model string, exclude map[string]bool, waiting func() bool, done func(now time.Time, chosen *endpoint.Endpoint, comeBack time.Duration)) bool {
+func (n *Node) ClaimCold(now time.Time, route *port.Route, tenant, model string, exclude map[string]bool, waiting func() bool, done func(now time.Time, chosen *endpoint.Endpoint, retryAfter time.Duration)) bool {
 	query := n.query(now, route, tenant)
 	query.Exclude, query.Model, query.OnlyCold = exclude, model, true
 	for _, service := range n.splitter.Order(route) {
--- a/internal/process/cluster/duties.go
+++ b/internal/process/cluster/duties.go
@@ -48,8 +48,8 @@
 	reporter *usage.Reporter
 }
 
-func (n *Node) newLease(key string, cadence recordlease.Timing, fenced bool) *recordlease.Lease {
-	return n.addLease(n.leaseOptions(key, cadence, fenced))
+func (n *Node) newLease(key string, timing recordlease.Timing, fenced bool) *recordlease.Lease {
+	return n.addLease(n.leaseOptions(key, timing, fenced))
 }
 
 // newOrderLease returns the lease for version orders. Orders without a response may still be executed later.
@@ -60,10 +60,10 @@
 	return n.addLease(options)
 }
 
-func (n *Node) leaseOptions(key string, cadence recordlease.Timing, fenced bool) recordlease.Options {
+func (n *Node) leaseOptions(key string, timing recordlease.Timing, fenced bool) recordlease.Options {
 	return recordlease.Options{
 		Key:    port.RecordKey{Table: port.SharedTable, Partition: LeasePartition, Key: key},
-		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Timing: cadence,
+		Holder: n.options.Name, Incarnation: n.options.Incarnation, Queue: n.queue, Pause: n.options.OrderPause, Timing: timing,
 		Fenced: fenced, StartedAt: n.startedAt,
 		Jitter: n.random.Float64(), Nodes: n.NodeCount, ObservedUntil: n.sharedObservedUntil, Clock: n.clock.bounds,
 	}
--- a/internal/process/cluster/evacuation.go
+++ b/internal/process/cluster/evacuation.go
@@ -16,9 +16,9 @@
 // onEvacuations updates the evacuated zones. A full read replaces the set, since it may follow deletions
 // that the watch missed. The end of an evacuation may be the only notice of it, in which case the zone's
 // replicas may still have turned cold.
-func (n *Node) onEvacuations(now time.Time, updates []port.Evacuation, whole bool) {
+func (n *Node) onEvacuations(now time.Time, updates []port.Evacuation, fullRead bool) {
 	next, lifted := map[string]bool{}, map[string]bool{}
-	if !whole {
+	if !fullRead {
 		maps.Copy(next, n.evacuated)
 	}
 	for _, one := range updates {
--- a/internal/process/cluster/evacuation_test.go
+++ b/internal/process/cluster/evacuation_test.go
@@ -57,9 +57,9 @@
 
 // tableUpdate is an update of one table.
 type tableUpdate struct {
-	table string
-	whole bool
-	keys  []string
+	table    string
+	fullRead bool
+	keys     []string
 }
 
 func TestEvacuatedZones(t *testing.T) {
@@ -89,7 +89,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			n := newZonedNode()
 			for _, one := range c.updates {
-				n.onDeployment(start, one.table, records(one.table, one.keys...), one.whole)
+				n.onDeployment(start, one.table, records(one.table, one.keys...), one.fullRead)
 			}
 			if got := n.EvacuatedZones(); !slices.Equal(got, c.zones) {
 				t.Errorf("evacuated zones %v, want %v", got, c.zones)
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestLapsedReplicaOfAnEvacuatedZone checks that a replica kept after its record has expired is withheld during
+// TestLapsedReplicaOfEvacuatedZone checks that a replica kept after its record has expired is withheld during
 // an evacuation, and usable after it.
-func TestLapsedReplicaOfAnEvacuatedZone(t *testing.T) {
+func TestLapsedReplicaOfEvacuatedZone(t *testing.T) {
 	n := newZonedNode()
 	n.onDeployment(start, "replicas", records("replicas", "a/1"), true)
 	n.onReplicaHealth(start, true)
@@ -176,10 +176,10 @@
 		}
 	}
 	if len(got) != 2 || got[0].Event != event.ZoneEvacuated || got[1].Event != event.EvacuationLifted {
-		t.Fatalf("%+v", got)
+		t.Fatalf("logged %+v, want one evacuation and its end", got)
 	}
 	if fields := got[0].Fields; !slices.Equal(fields, []any{"zone", "a", "replicas", 2, "in_flight", 3}) {
-		t.Errorf("%v", fields)
+		t.Errorf("evacuation logged with fields %v", fields)
 	}
 }
 
@@ -196,15 +196,15 @@
 	}
 }
 
-// TestZonesOfEvacuated checks that the scaling duty receives the evacuated zones.
-func TestZonesOfEvacuated(t *testing.T) {
+// TestScalingReceivesEvacuatedZones checks that the scaling duty receives the evacuated zones.
+func TestScalingReceivesEvacuatedZones(t *testing.T) {
 	n := newZonedNode()
 	n.onDeployment(start, "replicas", records("replicas", "a/1", "b/1"), true)
 	n.onDeployment(start, "operator", records("operator", "a"), true)
 	service := port.Service{Name: "s", Scaling: &port.Scaling{Prices: map[string]float64{"a": 1, "b": 1}}}
 	zones := n.zonesOf(service)
 	if len(zones) != 2 || !zones[0].Evacuated || zones[1].Evacuated {
-		t.Errorf("%+v", zones)
+		t.Errorf("scaling receives zones %+v, want a evacuated and b not", zones)
 	}
 }
 
--- a/internal/process/cluster/standing.go
+++ b/internal/process/cluster/fitness.go
@@ -10,8 +10,8 @@
 // the events of a large job or a large list of replicas in time.
 const minProcessorShare = 0.5
 
-// standing returns how suitable this node is to run another job.
-func (n *Node) standing(now time.Time) batch.Fitness {
+// fitness returns how suitable this node is to run another job.
+func (n *Node) fitness(now time.Time) batch.Fitness {
 	share := n.options.ProcessorShare
 	switch {
 	case share > 0 && share < minProcessorShare:
--- a/internal/process/cluster/lapse.go
+++ b/internal/process/cluster/lapse.go
@@ -73,7 +73,7 @@
 	put.Endpoint.SetEvacuated(now, n.evacuated[put.Endpoint.Zone])
 	put.Endpoint.Region = n.options.Topology.RegionOf(put.Endpoint.Zone)
 	n.onReplicaChange(now, put)
-	n.learnCold(now, put)
+	n.updateColdState(now, put)
 }
 
 // tickLapses removes the kept replicas whose records did not reappear within the grace period.
--- a/internal/process/cluster/census_test.go
+++ b/internal/process/cluster/nodecount_test.go
@@ -35,9 +35,9 @@
 	t.Fatal("the lease was not acquired")
 }
 
-// TestCensus checks that the lease holder counts recently active nodes over several pages and stores only
+// TestNodeCount checks that the lease holder counts recently active nodes over several pages and stores only
 // significant changes.
-func TestCensus(t *testing.T) {
+func TestNodeCount(t *testing.T) {
 	n, store := newNode(), model.NewRecordStore(start, model.RecordStoreOptions{})
 	holdLease(t, n, store)
 	put := func(name string, age time.Duration) {
--- a/internal/process/cluster/place_test.go
+++ b/internal/process/cluster/place_test.go
@@ -10,9 +10,9 @@
 	"github.com/doorstep/doorstep/internal/version/batch"
 )
 
-// TestItemsWaitForRoomRatherThanGoToAnEjectedReplica guards against ejected replicas attracting all items because
+// TestItemsWaitRatherThanUseEjectedReplica guards against ejected replicas attracting all items because
 // they alone always have room.
-func TestItemsWaitForRoomRatherThanGoToAnEjectedReplica(t *testing.T) {
+func TestItemsWaitRatherThanUseEjectedReplica(t *testing.T) {
 	route := &port.Route{Name: "r", Kind: port.RouteBatch, Backends: []port.Backend{{Service: "s", Weight: 1}}}
 	for _, c := range []struct {
 		name string
--- a/internal/process/cluster/purity_test.go
+++ b/internal/process/cluster/purity_test.go
@@ -28,12 +28,12 @@
 	"http.Get", "http.Post", "net.Dial", "net.Listen", "rand.Int", "rand.IntN", "rand.Float64",
 }
 
-func TestDecisionsReadNoClockAndDoNoIO(t *testing.T) {
+func TestDecisionPackagesArePure(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	for _, name := range decisionPackages {
 		files, err := filepath.Glob(filepath.Join(root, name, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatalf("%s holds no file: %v", name, err)
+			t.Fatalf("%s contains no Go files: %v", name, err)
 		}
 		for _, file := range files {
 			if !strings.HasSuffix(file, "_test.go") {
--- a/internal/process/cluster/replicalist_test.go
+++ b/internal/process/cluster/replicalist_test.go
@@ -156,9 +156,9 @@
 	return chosen.ID
 }
 
-// TestANodeThatServesNobodyFollowsNoReplicas checks that the load on the store depends on a node's requests and
+// TestIdleNodeDoesNotFollowReplicas checks that the load on the store depends on a node's requests and
 // not on the number of replicas.
-func TestANodeThatServesNobodyFollowsNoReplicas(t *testing.T) {
+func TestIdleNodeDoesNotFollowReplicas(t *testing.T) {
 	for _, replicas := range []int{1_000, 10_000} {
 		d := newLargeDeployment(t, replicas)
 		d.run(time.Second)
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestARestedNodeSendsToNoReplicaThatLeft checks that a node that stopped following the list learns of changes
+// TestIdleNodeRereadsReplicasBeforeSending checks that a node that stopped following the list learns of changes
 // before it sends a request.
-func TestARestedNodeSendsToNoReplicaThatLeft(t *testing.T) {
+func TestIdleNodeRereadsReplicasBeforeSending(t *testing.T) {
 	const replicas = 2_000
 	d := newLargeDeployment(t, replicas)
 	first := d.serve()
@@ -206,7 +206,7 @@
 			}
 		}
 		if slices.Contains(draining, chosen) {
-			t.Fatalf("request sent to %s, which is draining; the first one went to %s", chosen, first)
+			t.Fatalf("request sent to %s, which is draining; the first request went to %s", chosen, first)
 		}
 	}
 	t.Error("a replica was found although all replicas of the service are draining")
@@ -231,8 +231,8 @@
 	}
 }
 
-// TestAStoreThatIsAwayHoldsNoRequest checks that requests go to known replicas while the store is unavailable.
-func TestAStoreThatIsAwayHoldsNoRequest(t *testing.T) {
+// TestRequestsDoNotWaitForUnavailableStore checks that requests go to known replicas while the store is unavailable.
+func TestRequestsDoNotWaitForUnavailableStore(t *testing.T) {
 	d := newLargeDeployment(t, 2_000)
 	d.run(time.Second)
 	d.serve()
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestRequestsThatFindNoFreeSlotReadOn checks that more replicas are read whenever all known ones are full, up to
+// TestMoreReplicasAreReadWhenKnownOnesAreFull checks that more replicas are read whenever all known ones are full, up to
 // the whole list.
-func TestRequestsThatFindNoFreeSlotReadOn(t *testing.T) {
+func TestMoreReplicasAreReadWhenKnownOnesAreFull(t *testing.T) {
 	const replicas = 2_000
 	d := newLargeDeployment(t, replicas)
 	d.serve()
--- a/internal/process/cluster/status_test.go
+++ b/internal/process/cluster/status_test.go
@@ -19,9 +19,9 @@
 // storedOffset returns the wall clock offset in the node's status record, false if there is none.
 func (c *coldNode) storedOffset() (time.Duration, bool) { return wallOffsetOf(c.statusRecord()) }
 
-// TestAStatusThatGotLostIsToldAgain checks that a status is written soon after an outage at startup, as the usage
+// TestFailedStatusWriteIsRetried checks that a status is written soon after an outage at startup, as the usage
 // clock depends on the nodes' wall clock offsets. Simulator seed 700015.
-func TestAStatusThatGotLostIsToldAgain(t *testing.T) {
+func TestFailedStatusWriteIsRetried(t *testing.T) {
 	n := newColdNode()
 	n.storeDown = true
 	n.run(2 * maxFirstStatusDelay)
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestAClockThatJumpsIsToldAtOnce checks that a jump of the wall clock is written before the next regular status.
-func TestAClockThatJumpsIsToldAtOnce(t *testing.T) {
+// TestWallClockJumpIsWrittenPromptly checks that a jump of the wall clock is written before the next regular status.
+func TestWallClockJumpIsWrittenPromptly(t *testing.T) {
 	n := newColdNode()
 	ahead := time.Duration(0)
 	n.options.WallClockOffset = func() time.Duration { return ahead }
--- a/internal/process/cluster/unreadable.go
+++ b/internal/process/cluster/unreadable.go
@@ -13,9 +13,9 @@
 type unreadableRecords map[string]map[string]int64
 
 // logNew logs the unreadable records that were not logged before. A full read lists all of the table.
-func (u unreadableRecords) logNew(queue *task.Queue, table string, records []port.UnreadableRecord, whole bool) {
+func (u unreadableRecords) logNew(queue *task.Queue, table string, records []port.UnreadableRecord, fullRead bool) {
 	before := u[table]
-	if before == nil || whole {
+	if before == nil || fullRead {
 		u[table] = make(map[string]int64, len(records))
 	}
 	for _, one := range records {
--- a/internal/process/cluster/watches.go
+++ b/internal/process/cluster/watches.go
@@ -72,7 +72,7 @@
 // toleratesDelay reports whether updates of jobs may arrive late: the node is idle, no caller waits for a
 // job, and the node is not first in line for the next one.
 func (n *Node) toleratesDelay(now time.Time) bool {
-	return n.idle(now) && n.jobWaiters == 0 && n.standing(now) != batch.Ready
+	return n.idle(now) && n.jobWaiters == 0 && n.fitness(now) != batch.Ready
 }
 
 // BeginJobWait registers a caller that waits for a job to change, until EndJobWait is called.
@@ -114,30 +114,31 @@
 	}
 }
 
-func (n *Node) onDeployment(now time.Time, table string, records []port.Record, whole bool) {
+// onDeployment handles changes, or a full read, of a deployment table.
+func (n *Node) onDeployment(now time.Time, table string, records []port.Record, fullRead bool) {
 	change := n.options.Decoder.DecodeDeployment(records)
-	n.unreadable.logNew(n.queue, table, change.Unreadable, whole)
+	n.unreadable.logNew(n.queue, table, change.Unreadable, fullRead)
 	if change.Routes != nil {
 		n.applyRoutes(now, change.Routes)
 	}
 	if n.isConfigurationTable(table) {
-		n.onEvacuations(now, change.Evacuations, whole)
+		n.onEvacuations(now, change.Evacuations, fullRead)
 	}
 	for _, target := range change.Targets {
 		n.rollout.SetTarget(target)
 	}
-	silent := whole && len(change.Replicas) > maxAddedLogLines
+	silent := fullRead && len(change.Replicas) > maxAddedLogLines
 	listed := n.putReplicas(now, change.Replicas, silent)
 	if silent {
 		n.logListed(len(change.Replicas))
 	}
-	if whole && n.isReplicaTable(table) {
+	if fullRead && n.isReplicaTable(table) {
 		n.queue.Add(task.NotifyReplicasRead{})
 	}
 	for _, gone := range change.Removed {
 		n.onReplicaGone(now, gone, unreadable(change.Unreadable, gone.ID))
 	}
-	if whole && n.isReplicaTable(table) {
+	if fullRead && n.isReplicaTable(table) {
 		for _, e := range n.endpoints.All() {
 			if !listed[e.ID] {
 				n.removeReplica(now, e.ID)
@@ -147,7 +148,7 @@
 }
 
 // maxAddedLogLines is the number of replicas above which a full read logs one summary line instead of
-// a line for each replica, which would flush the ring buffer of log lines.
+// a line for each replica, which would overflow the log buffer.
 const maxAddedLogLines = 500
 
 // isReplicaTable reports whether a table holds the replicas, which is the last deployment table.
--- a/internal/process/cluster/workingset_test.go
+++ b/internal/process/cluster/workingset_test.go
@@ -10,9 +10,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestWorkingSetGrowsWithTheWork checks that the working set depends on the running items and not on the size of
+// TestWorkingSetFollowsDemand checks that the working set depends on the running items and not on the size of
 // the fleet, and that a model without known jobs gets the minimum.
-func TestWorkingSetGrowsWithTheWork(t *testing.T) {
+func TestWorkingSetFollowsDemand(t *testing.T) {
 	var sizes []int
 	for _, replicas := range []int{9625, 19250} {
 		n := newNode()
@@ -48,6 +48,6 @@
 	n.refreshNeeds(start, []string{"m"})
 	n.refreshNeeds(start.Add(time.Millisecond), []string{"m", "n"})
 	if len(n.needs.byModel) != 2 {
-		t.Errorf("%v", n.needs.byModel)
+		t.Errorf("needs %v, want those of two models", n.needs.byModel)
 	}
 }
