--- a/internal/process/endpoint/endpoint_test.go
+++ b/internal/process/endpoint/endpoint_test.go
@@ -100,7 +100,7 @@
 	}
 	for i := 1; i < len(pauses); i++ {
 		if pauses[i] < pauses[i-1] || pauses[i] > maxEjection {
-			t.Errorf("pauses %v", pauses)
+			t.Errorf("ejected for %v", pauses)
 		}
 	}
 	if e.RecordSuccess(time.Millisecond); e.Ejected(at) {
--- a/internal/process/endpoint/region.go
+++ b/internal/process/endpoint/region.go
@@ -14,7 +14,7 @@
 	delayTolerance = 5 * time.Millisecond
 	// queueWeight is the weight of queueing time relative to network round-trip time. A request that
 	// joins a queue also delays the requests behind it; with a weight of 1, the local queue stays as
-	// long as the round trip to the other region (TestPlayedLoadsOverTwoRegions).
+	// long as the round trip to the other region (TestSimulatedLoadsInTwoRegions).
 	queueWeight = 6
 )
 
@@ -61,7 +61,7 @@
 
 // filterByDelay returns the candidates with the lowest expected delay. The node's own region serves
 // requests until queueing there costs more than the round trip to another region
-// (TestRequestsSpillByWhatTheCallerGets).
+// (TestRequestsSpillByExpectedDelay).
 func filterByDelay(q *Query, candidates []*Endpoint) []*Endpoint {
 	if q.ExtraLatency == nil || len(candidates) == 0 {
 		return candidates
--- a/internal/process/endpoint/region_test.go
+++ b/internal/process/endpoint/region_test.go
@@ -112,7 +112,7 @@
 }
 
 // Requests take 25 ms on endpoints with six slots, and the round trip to the other region takes 40 ms.
-func TestRequestsSpillByWhatTheCallerGets(t *testing.T) {
+func TestRequestsSpillByExpectedDelay(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		north, south int
--- a/internal/process/endpoint/simulation_test.go
+++ b/internal/process/endpoint/simulation_test.go
@@ -56,7 +56,7 @@
 
 // simulate sends requests with random arrival times from one node in the north and returns their mean
 // and 99th-percentile latency.
-func simulate(load simulatedLoad, choose func(list []*Endpoint, q *Query) *Endpoint) (mean, slowest time.Duration) {
+func simulate(load simulatedLoad, choose func(list []*Endpoint, q *Query) *Endpoint) (mean, p99 time.Duration) {
 	random := rand.New(rand.NewPCG(1, 1))
 	replicas := map[string]*simulatedReplica{}
 	list := twoRegions(0, 0)
@@ -114,9 +114,9 @@
 	return func(list []*Endpoint, q *Query) *Endpoint { return profile.Pick(q, list) }
 }
 
-// TestPlayedLoadsOverTwoRegions compares the mean latency of selection by delay with selection that
+// TestSimulatedLoadsInTwoRegions compares the mean latency of selection by delay with selection that
 // ignores regions and with two region weights.
-func TestPlayedLoadsOverTwoRegions(t *testing.T) {
+func TestSimulatedLoadsInTwoRegions(t *testing.T) {
 	strategies := map[string]func(list []*Endpoint, q *Query) *Endpoint{
 		"by delay": func(list []*Endpoint, q *Query) *Endpoint { return Requests.Pick(q, list) },
 		"ignoring regions": func(list []*Endpoint, q *Query) *Endpoint {
--- a/internal/process/endpoint/walk_test.go
+++ b/internal/process/endpoint/walk_test.go
@@ -64,7 +64,7 @@
 }
 
 // The number of endpoints that a choice examines must not grow with the pool.
-func TestChoosingCostsTheSame(t *testing.T) {
+func TestChoiceCostIndependentOfPoolSize(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(registry *Registry, pool *Pool)
@@ -105,7 +105,7 @@
 }
 
 // The only eligible endpoint of a large pool is found by some of the choices.
-func TestWhatOneWalkMissesOthersFind(t *testing.T) {
+func TestRepeatedWalksFindOnlyEligibleEndpoint(t *testing.T) {
 	_, pool := newTestPool(9625)
 	for _, e := range pool.All() {
 		e.OperatorDrained = e != pool.All()[4711]
@@ -213,13 +213,13 @@
 }
 
 // Items placed by walks must not finish later than items placed by full scans.
-func TestWalksServeAsWellAsWholePasses(t *testing.T) {
+func TestWalksMatchFullScans(t *testing.T) {
 	for _, items := range []int{200, 1200, 2400} {
-		whole := simulateBurst(items, func(q *Query, pool *Pool) *Endpoint { return Rollouts.Pick(q, pool.All()) })
+		scanned := simulateBurst(items, func(q *Query, pool *Pool) *Endpoint { return Rollouts.Pick(q, pool.All()) })
 		walked := simulateBurst(items, func(q *Query, pool *Pool) *Endpoint { return Rollouts.Choose(q, pool) })
-		t.Logf("%d items on 600 endpoints of 6 slots: end after %s with full scans, %s with walks", items, whole, walked)
-		if float64(walked) > 1.05*float64(whole) {
-			t.Errorf("%d items end after %s with walks, %s with full scans", items, walked, whole)
+		t.Logf("%d items on 600 endpoints of 6 slots: end after %s with full scans, %s with walks", items, scanned, walked)
+		if float64(walked) > 1.05*float64(scanned) {
+			t.Errorf("%d items end after %s with walks, %s with full scans", items, walked, scanned)
 		}
 	}
 }
