--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -276,9 +276,9 @@
 			cancel()
 		}
 	case task.OrderVersion:
-		go a.order(a.leaseContext, t)
+		go a.orderVersion(a.leaseContext, t)
 	case task.FetchReport:
-		go a.report(t)
+		go a.fetchReport(t)
 	case task.ReportUsage:
 		go a.reportUsage(a.leaseContext, t)
 	case task.OrderReplicas:
--- a/internal/process/agent/quarantine.go
+++ b/internal/process/agent/quarantine.go
@@ -18,13 +18,13 @@
 // requests are refused so that client retries do not crash further replicas.
 func (x *exchange) mayForward(w http.ResponseWriter) bool {
 	var verdict quarantine.Decision
-	served := false
+	hasAllowedReplica := false
 	x.agent.do(func(now time.Time) {
-		served = x.agent.node.HasAllowedReplica(x.route, x.caller.Tenant)
+		hasAllowedReplica = x.agent.node.HasAllowedReplica(x.route, x.caller.Tenant)
 		verdict = x.agent.node.Quarantine().Check(now, x.identity.Fingerprint)
 	})
-	if !served {
-		x.refuseUnserved(w)
+	if !hasAllowedReplica {
+		x.refuseNoAllowedRegion(w)
 		return false
 	}
 	switch verdict.State {
@@ -93,7 +93,7 @@
 	return outcome == relay.Broken && ctx.Err() == nil && a.upstream.RefusesConnections(ctx, address)
 }
 
-// crashedWithError is crashed for a call that returned an error.
+// crashedWithError reports whether the replica stopped during a call that returned an error.
 func (a *Agent) crashedWithError(ctx context.Context, address string, err error) bool {
 	var failed *upstream.Error
 	if errors.As(err, &failed) && !failed.Sent {
--- a/internal/process/agent/region.go
+++ b/internal/process/agent/region.go
@@ -21,8 +21,8 @@
 	sentScoring = "scoring"
 )
 
-// refuseUnserved responds to a request that no replica may serve.
-func (x *exchange) refuseUnserved(w http.ResponseWriter) {
+// refuseNoAllowedRegion responds to a request that no replica may serve.
+func (x *exchange) refuseNoAllowedRegion(w http.ResponseWriter) {
 	x.agent.refuse(w, x.id, http.StatusServiceUnavailable, noRegionRetryAfter, reasonNoAllowedRegion, "route", x.route.Name, "tenant", x.caller.Tenant)
 }
 
--- a/internal/process/agent/run.go
+++ b/internal/process/agent/run.go
@@ -117,7 +117,7 @@
 		return received, err
 	}
 	if received.ID != r.last+1 {
-		return received, errEventMissing
+		return received, errEventGap
 	}
 	now := time.Now()
 	r.paceUpdated = r.estimator.observe(now)
@@ -166,8 +166,8 @@
 	})
 }
 
-// order sends a version order to a replica.
-func (a *Agent) order(ctx context.Context, t task.OrderVersion) {
+// orderVersion sends a version orderVersion to a replica.
+func (a *Agent) orderVersion(ctx context.Context, t task.OrderVersion) {
 	path, body := a.protocol.EncodeOrder(t.Order)
 	status := port.VersionOrderUnknown
 	code, _, err := a.callReplica(ctx, t.Order.Replica, t.Order.Address, http.MethodPost, path, body, t.Limit)
@@ -177,8 +177,8 @@
 	a.do(func(now time.Time) { t.Done(now, status) })
 }
 
-// report requests a replica's state.
-func (a *Agent) report(t task.FetchReport) {
+// fetchReport requests a replica's state.
+func (a *Agent) fetchReport(t task.FetchReport) {
 	var report port.ReplicaReport
 	code, content, err := a.callReplica(a.base, t.Replica, t.Address, http.MethodGet, a.protocol.ReportPath(), nil, controlTimeout)
 	if err == nil && code == http.StatusOK {
--- a/internal/process/agent/stream.go
+++ b/internal/process/agent/stream.go
@@ -156,7 +156,7 @@
 			return relay.Broken, err
 		}
 		if s.last > 0 && received.ID != s.last+1 {
-			return relay.Broken, errEventMissing
+			return relay.Broken, errEventGap
 		}
 		if _, err := io.WriteString(s.writer, received.Raw); err != nil || s.control.Flush() != nil {
 			s.clientGone = true
@@ -166,5 +166,5 @@
 	}
 }
 
-// errEventMissing reports event IDs that are not consecutive.
-var errEventMissing = errors.New("event IDs are not consecutive")
+// errEventGap reports event IDs that are not consecutive.
+var errEventGap = errors.New("event IDs are not consecutive")
