--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -166,8 +166,8 @@
 	if distance <= maxChangeLatency {
 		return now
 	}
-	if heard := now.Add(-distance); heard.After(w.observedAt) {
-		return heard
+	if observed := now.Add(-distance); observed.After(w.observedAt) {
+		return observed
 	}
 	return w.observedAt
 }
--- a/internal/process/recordwatch/recordwatch_test.go
+++ b/internal/process/recordwatch/recordwatch_test.go
@@ -134,9 +134,9 @@
 	return call
 }
 
-// TestPaceUnderRefusals checks that refusals increase the delay between calls up to its maximum and
+// TestDelayUnderRefusals checks that refusals increase the delay between calls up to its maximum and
 // that answered calls reduce it again.
-func TestPaceUnderRefusals(t *testing.T) {
+func TestDelayUnderRefusals(t *testing.T) {
 	const gather, most = 40 * time.Millisecond, 800 * time.Millisecond
 	for _, c := range []struct {
 		name string
@@ -223,7 +223,7 @@
 }
 
 // The records read per second do not depend on the size of a large table.
-func TestWholeReadingsCostTheSame(t *testing.T) {
+func TestRereadRateIndependentOfTableSize(t *testing.T) {
 	const span = 10 * time.Minute
 	for _, c := range []struct {
 		size int
@@ -249,11 +249,11 @@
 }
 
 // After an unanswered call a large table is not read again, unless its history is compacted.
-func TestALargeTableIsWatchedOn(t *testing.T) {
+func TestLargeTableNotRereadAfterFailure(t *testing.T) {
 	for _, c := range []struct {
 		size   int
 		status port.RecordStatus
-		whole  bool
+		reread bool
 	}{{LargeTable - 1, port.RecordUnknown, true}, {LargeTable, port.RecordUnknown, false}, {LargeTable, port.RecordCompacted, true}} {
 		now, queue := time.Unix(1000, 0), &task.Queue{}
 		w := largeWatch(queue, nil)
@@ -261,16 +261,16 @@
 		nextCall(queue).(task.Range).Done(now, records(c.size))
 		nextCall(queue).(task.Watch).Done(now, port.RecordResult{Status: c.status})
 		w.Tick(now.Add(maxBackoff))
-		_, whole := nextCall(queue).(task.Range)
-		if whole != c.whole || w.Healthy() && c.status == port.RecordUnknown {
-			t.Errorf("%d records, status %d: full read %t, healthy %t", c.size, c.status, whole, w.Healthy())
+		_, reread := nextCall(queue).(task.Range)
+		if reread != c.reread || w.Healthy() && c.status == port.RecordUnknown {
+			t.Errorf("%d records, status %d: full read %t, healthy %t", c.size, c.status, reread, w.Healthy())
 		}
 	}
 }
 
 // A relaxed watch of a busy table makes a limited number of calls per second and resumes at once when a
 // caller waits.
-func TestRelaxedCallsAreSpaced(t *testing.T) {
+func TestRelaxedWatchIsRateLimited(t *testing.T) {
 	relaxed := true
 	now, queue, calls := time.Unix(1000, 0), &task.Queue{}, 0
 	w := largeWatch(queue, func(time.Time) bool { return relaxed })
@@ -302,7 +302,7 @@
 }
 
 // An unfinished read after a failure must not confirm records: they are as old as the last watch call.
-func TestAnUnfinishedReadingConfirmsNothing(t *testing.T) {
+func TestUnfinishedReadConfirmsNothing(t *testing.T) {
 	queue := &task.Queue{}
 	w := New(Options{Table: "t", Partitions: []string{"p0", "p1"}, Queue: queue, Wait: time.Second,
 		OnList: func(time.Time, []port.Record) {}, OnChange: func(time.Time, []port.Record) {}, OnHealth: func(time.Time, bool) {}})
