--- a/internal/process/coldstart/coldstart_test.go
+++ b/internal/process/coldstart/coldstart_test.go
@@ -36,9 +36,9 @@
 	m := &gateGroup{Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 1)), frozen: make([]time.Time, gates)}
 	m.store = model.NewRecordStore(m.Now, model.RecordStoreOptions{WritesPerSecond: 800, ReadsPerSecond: 800, History: time.Minute})
 	// Clock error per gate: some milliseconds, or up to a second.
-	doubt := []time.Duration{10 * time.Millisecond, time.Second}[seed%2]
+	maxClockError := []time.Duration{10 * time.Millisecond, time.Second}[seed%2]
 	for i := range gates {
-		early, late := m.randomDuration(doubt), m.randomDuration(doubt)
+		early, late := m.randomDuration(maxClockError), m.randomDuration(maxClockError)
 		if i%2 == 1 {
 			late = m.randomDuration(10 * time.Millisecond)
 		}
@@ -181,7 +181,7 @@
 }
 
 // TestWindowGrantsItsCapacity checks that callers on different nodes can use up a window one request at a
-// time, and that the next one is told when a new window begins.
+// time, and that the next caller learns when a new window begins.
 func TestWindowGrantsItsCapacity(t *testing.T) {
 	first, queue, store := newExactGate()
 	now, served := epoch.Add(time.Second), 0
@@ -203,7 +203,7 @@
 	}
 	last := gates[len(gates)-1]
 	if wait := last.RetryAfter(now, "r", limit); wait != windowLength {
-		t.Errorf("next caller is told to wait %s, want %s", wait, windowLength)
+		t.Errorf("next caller has to wait %s, want %s", wait, windowLength)
 	}
 	now = now.Add(windowLength)
 	if !last.Claimable(now, "r", limit) {
@@ -213,9 +213,9 @@
 
 func TestClaimOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		status port.RecordStatus
-		pause  time.Duration
+		name       string
+		status     port.RecordStatus
+		retryAfter time.Duration
 	}{
 		{"refused", port.RecordRefused, refusedRetryDelay},
 		{"unanswered", port.RecordUnknown, unansweredRetryDelay},
@@ -227,8 +227,8 @@
 		if !slices.Equal(outcomes, []bool{false}) || gate.HasGrant(now, "r") {
 			t.Errorf("%s: outcomes %v, want one denial and no grant", c.name, outcomes)
 		}
-		if wait := gate.RetryAfter(now, "r", limit); wait != c.pause {
-			t.Errorf("%s: next attempt after %s, want %s", c.name, wait, c.pause)
+		if wait := gate.RetryAfter(now, "r", limit); wait != c.retryAfter {
+			t.Errorf("%s: next attempt after %s, want %s", c.name, wait, c.retryAfter)
 		}
 	}
 }
