--- a/internal/process/quarantine/quarantine_test.go
+++ b/internal/process/quarantine/quarantine_test.go
@@ -135,7 +135,7 @@
 	late.expect(t, "a node that starts later", request, Held)
 }
 
-func TestAnsweredRequestsAreNoSuspects(t *testing.T) {
+func TestAnsweredRequestsAreNotSuspects(t *testing.T) {
 	c := newTestCluster(2)
 	request := requestOf("bystander")
 	c.crash(request, "r1", "r2")
@@ -154,7 +154,7 @@
 	c.expect(t, "a request answered long ago", request, Held)
 }
 
-func TestOneNodeTriesAHeldRequest(t *testing.T) {
+func TestTrialIsGrantedToOneNode(t *testing.T) {
 	c := newTestCluster(3)
 	request := requestOf("poison")
 	c.crash(request, "r1", "r2", "r3")
@@ -185,7 +185,7 @@
 
 func TestAnsweredTrialLiftsQuarantine(t *testing.T) {
 	c := newTestCluster(3)
-	request := requestOf("mended")
+	request := requestOf("fixed")
 	c.crash(request, "r1", "r2", "r3")
 	c.now = c.now.Add(trialDelays[0])
 	c.nodes[2].ClaimTrial(c.now, request.Fingerprint, func(time.Time, bool) {})
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestCrashesAreWrittenOnceTheStoreAnswers(t *testing.T) {
+func TestRefusedWritesAreRetried(t *testing.T) {
 	c := newTestCluster(2)
 	request := requestOf("poison")
 	c.status = port.RecordRefused
@@ -215,7 +215,7 @@
 	c.expect(t, "once the store answers", request, Held)
 }
 
-func TestFirstCrashesOfOwnedRequestsStayAtTheirNode(t *testing.T) {
+func TestFirstCrashOfOwnedRequestIsNotStored(t *testing.T) {
 	c := newTestCluster(1)
 	request := requestOf("item")
 	request.Owned = true
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestOldSuspectsAreCollected(t *testing.T) {
+func TestExpiredSuspectsAreCollected(t *testing.T) {
 	c := newTestCluster(2)
 	suspected, held := requestOf("bystander"), requestOf("poison")
 	c.crash(suspected, "r1")
@@ -262,10 +262,10 @@
 	c := newTestCluster(1)
 	request := requestOf("poison")
 	c.crash(request, "r1", "r2", "r3")
-	whole := c.records.Range(c.now, port.RecordRange{Table: port.SharedTable, Partition: Partition}).Records
-	c.nodes[0].OnList(whole)
+	fullRead := c.records.Range(c.now, port.RecordRange{Table: port.SharedTable, Partition: Partition}).Records
+	c.nodes[0].OnList(fullRead)
 	c.expect(t, "while its records exist", request, Held)
-	c.nodes[0].OnList(whole[:2])
+	c.nodes[0].OnList(fullRead[:2])
 	c.expect(t, "after a record has disappeared between two reads", request, Allowed)
 }
 
@@ -281,7 +281,7 @@
 		t.Errorf("got %+v, want %+v", reports, want)
 	}
 	if stats := c.nodes[0].Stats(); stats != (Stats{Crashes: 3, Suspects: 1, Held: 1}) {
-		t.Errorf("%+v", stats)
+		t.Errorf("got stats %+v, want 3 crashes, 1 suspect and 1 held request", stats)
 	}
 }
 
