--- a/internal/process/distance/distance.go
+++ b/internal/process/distance/distance.go
@@ -52,8 +52,8 @@
 	if !d.multiRegion {
 		return 0
 	}
-	if away, known := d.extraLatency[zone]; known {
-		return away
+	if latency, known := d.extraLatency[zone]; known {
+		return latency
 	}
 	return defaultDistance
 }
--- a/internal/process/distance/distance_test.go
+++ b/internal/process/distance/distance_test.go
@@ -47,12 +47,12 @@
 	}
 }
 
-func TestOneRegion(t *testing.T) {
+func TestSingleRegion(t *testing.T) {
 	for _, one := range []port.Topology{{}, {Zone: "a"}, {Zone: "a", Region: "north", Regions: map[string]string{"a": "north", "b": "north"}}} {
 		d := New(one)
 		d.Observe("b", time.Second)
 		if d.MultiRegion() || d.ExtraLatency("b") != 0 || d.ExtraLatency("unknown") != 0 {
-			t.Errorf("%+v: several %t, distance %s", one, d.MultiRegion(), d.ExtraLatency("b"))
+			t.Errorf("%+v: multi-region %t, extra latency %s; want neither", one, d.MultiRegion(), d.ExtraLatency("b"))
 		}
 	}
 }
