--- a/internal/process/clock/clock.go
+++ b/internal/process/clock/clock.go
@@ -80,9 +80,9 @@
 	now = c.source.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	gap := c.driftAt(now)
-	if (gap-c.drift).Abs() >= driftTolerance || now.Sub(c.checkedAt) >= checkInterval {
-		c.drift, c.checkedAt = gap, now
+	drift := c.driftAt(now)
+	if (drift-c.drift).Abs() >= driftTolerance || now.Sub(c.checkedAt) >= checkInterval {
+		c.drift, c.checkedAt = drift, now
 		c.checkSuspension(now)
 	}
 	return now.Add(c.suspended), c.suspended
--- a/internal/process/clock/clock_test.go
+++ b/internal/process/clock/clock_test.go
@@ -30,7 +30,7 @@
 
 func newMachine() *machine { return &machine{now: time.Now(), boot: time.Hour} }
 
-// A node that was suspended must not take itself for the holder of an expired lease.
+// A node that was suspended must not consider itself the holder of an expired lease.
 func TestSuspensionIsIncluded(t *testing.T) {
 	m := newMachine()
 	c := New(m.source())
@@ -74,13 +74,13 @@
 func TestCheckInterval(t *testing.T) {
 	m := newMachine()
 	c := New(m.source())
-	asked := m.checks
+	before := m.checks
 	for range 400 {
 		m.advance(25 * time.Millisecond)
 		_ = c.Now()
 	}
-	if asks := m.checks - asked; asks > 10 {
-		t.Errorf("checked %d times in ten seconds, want at most 10", asks)
+	if checks := m.checks - before; checks > 10 {
+		t.Errorf("checked %d times in ten seconds, want at most 10", checks)
 	}
 }
 
@@ -100,7 +100,7 @@
 	before := c.Now()
 	time.Sleep(2 * time.Millisecond)
 	if passed := c.Now().Sub(before); passed < 2*time.Millisecond || passed > time.Minute {
-		t.Errorf("%s passed", passed)
+		t.Errorf("%s passed during a sleep of 2ms", passed)
 	}
 	if _, ok := sinceBoot(); !ok {
 		t.Error("the boot-time clock cannot be read")
