--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -101,7 +101,7 @@
 	// Kinds is the comma-separated list of duties that the platform supports. Unknown kinds are
 	// ignored.
 	Kinds string `koanf:"kinds" validate:"required_with=Address"`
-	// Fenced tells that the platform rejects calls with a lower fencing token than the highest that it
+	// Fenced is set if the platform rejects calls with a lower fencing token than the highest that it
 	// has seen.
 	Fenced bool `koanf:"fenced"`
 	// CallsPerSecond limits the calls of all nodes together.
@@ -166,8 +166,8 @@
 
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Fields))
-	for _, fault := range e.Fields {
-		lines = append(lines, fault.String())
+	for _, field := range e.Fields {
+		lines = append(lines, field.String())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -182,11 +182,11 @@
 		return nil, fmt.Errorf("flags: %w", err)
 	}
 	var loaded Settings
-	if faults := unmarshal(k, &loaded); len(faults) > 0 {
-		return nil, &Error{Fields: faults}
+	if invalid := unmarshal(k, &loaded); len(invalid) > 0 {
+		return nil, &Error{Fields: invalid}
 	}
-	if faults := checkFields(&loaded); len(faults) > 0 {
-		return nil, &Error{Fields: faults}
+	if invalid := checkFields(&loaded); len(invalid) > 0 {
+		return nil, &Error{Fields: invalid}
 	}
 	return &loaded, nil
 }
@@ -219,12 +219,12 @@
 	if !errors.As(err, &invalid) {
 		return nil
 	}
-	var faults []FieldError
+	var fields []FieldError
 	for _, one := range invalid {
 		_, path, _ := strings.Cut(one.Namespace(), ".")
-		faults = append(faults, FieldError{Field: path, Value: fmt.Sprint(one.Value()), Allowed: allowed(one)})
+		fields = append(fields, FieldError{Field: path, Value: fmt.Sprint(one.Value()), Allowed: allowed(one)})
 	}
-	return faults
+	return fields
 }
 
 func allowed(one validator.FieldError) string {
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const good = `
+const validSettings = `
 name: a-1
 zone: a
 region: north
@@ -52,18 +52,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Load([]byte(strings.Replace(good, c.from, c.to, 1)), nil)
+			_, err := Load([]byte(strings.Replace(validSettings, c.from, c.to, 1)), nil)
 			if c.field == "" {
 				if err != nil {
 					t.Fatal(err)
 				}
 				return
 			}
-			var faults *Error
-			if !errors.As(err, &faults) || faults.Fields[0].Field != c.field {
+			var invalid *Error
+			if !errors.As(err, &invalid) || invalid.Fields[0].Field != c.field {
 				t.Fatalf("got error %v, want one for field %s", err, c.field)
 			}
-			if faults.Fields[0].Allowed == "" {
+			if invalid.Fields[0].Allowed == "" {
 				t.Errorf("the error does not give the allowed values: %v", err)
 			}
 		})
@@ -71,14 +71,14 @@
 }
 
 func TestOverrides(t *testing.T) {
-	loaded, err := Load([]byte(good), map[string]any{"listen.requests": "127.0.0.1:9", "log.level": "warn"})
+	loaded, err := Load([]byte(validSettings), map[string]any{"listen.requests": "127.0.0.1:9", "log.level": "warn"})
 	if err != nil || loaded.Listen.Requests != "127.0.0.1:9" || loaded.Log.Level != "warn" {
 		t.Fatalf("overrides were not applied: %+v, %v", loaded, err)
 	}
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("store: [[]]"))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		loaded, err := Load(content, nil)
@@ -89,7 +89,7 @@
 }
 
 func TestDuties(t *testing.T) {
-	loaded, err := Load([]byte(good), nil)
+	loaded, err := Load([]byte(validSettings), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 }
 
 func TestTopology(t *testing.T) {
-	loaded, err := Load([]byte(good), nil)
+	loaded, err := Load([]byte(validSettings), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/task/task.go
+++ b/internal/process/task/task.go
@@ -53,7 +53,7 @@
 	// events.
 	FirstEventTimeout, NextEventTimeout time.Duration
 	// Progress is called periodically with the new events of the run and its pace, 0 if there is no new
-	// measurement. Its result tells whether to stop the run with RunSlow.
+	// measurement. Its result reports whether to stop the run with RunSlow.
 	Progress func(now time.Time, events []port.ReplicaEvent, pace time.Duration) (stop bool)
 	Done     func(now time.Time, result RunResult)
 }
@@ -92,7 +92,7 @@
 	FirstEvent time.Duration
 	// Pace is the mean time between two events, 0 if there were too few.
 	Pace time.Duration
-	// Crashed tells that the replica terminated during the run.
+	// Crashed reports whether the replica terminated during the run.
 	Crashed bool
 }
 
@@ -125,7 +125,7 @@
 	Score string
 	// Err is the reason for a missing or incomplete answer.
 	Err error
-	// Crashed tells that the replica terminated during the call.
+	// Crashed reports whether the replica terminated during the call.
 	Crashed bool
 }
 
