--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -42,7 +42,7 @@
 	ReplicaRemoved               = 711
 	ReplicaEjected               = 712
 	ReplicaRecordExpired         = 713
-	VersionNamed                 = 720
+	VersionAnnounced             = 720
 	VersionOrdered               = 721
 	VersionLoaded                = 722
 	ReportOfOtherIncarnation     = 723
@@ -125,7 +125,7 @@
 	{ReplicaRemoved, Info, "replica removed", "The replica was removed from the list."},
 	{ReplicaEjected, Warn, "replica ejected", "The replica failed repeatedly and temporarily gets no work."},
 	{ReplicaRecordExpired, Info, "replica record expired", "The replica's record expired while the record store was unavailable. The replica is kept unless its record is still missing two seconds after the store's return."},
-	{VersionNamed, Info, "version named", "A trainer announced a new version of a model."},
+	{VersionAnnounced, Info, "version named", "A trainer announced a new version of a model."},
 	{VersionOrdered, Info, "version ordered", "The lease holder ordered a replica to load a version. status is the replica's answer."},
 	{VersionLoaded, Info, "version loaded", "The replica reports that it has loaded the ordered version."},
 	{ReportOfOtherIncarnation, Warn, "report of another incarnation", "The start times in the replica's report and in its record differ; both are given in Unix milliseconds. The report is not used as a basis for orders."},
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -70,7 +70,7 @@
 		return
 	}
 	r.targets[target.Model] = target.Version
-	r.options.Queue.Log(event.VersionNamed, "model", target.Model, "version", target.Version)
+	r.options.Queue.Log(event.VersionAnnounced, "model", target.Model, "version", target.Version)
 }
 
 // Target returns a model's target version, or 0 if it has none.
