--- a/internal/command/operator/explain.go
+++ b/internal/command/operator/explain.go
@@ -192,7 +192,7 @@
 func isContextEvent(number int) bool {
 	return slices.Contains([]int{
 		event.ProcessStarted, event.ProcessStopping, event.ProcessStopped, event.SettingsReloaded, event.RoutesApplied,
-		event.ReplicaLeaving, event.ReplicaRemoved, event.ReplicaEjected, event.StoreLost, event.StoreRegained, event.LogLinesDropped,
+		event.ReplicaLeaving, event.ReplicaRemoved, event.ReplicaEjected, event.StoreLost, event.StoreRecovered, event.LogLinesDropped,
 	}, number)
 }
 
@@ -344,7 +344,7 @@
 			switch line.number {
 			case event.StoreLost:
 				lost = true
-			case event.StoreRegained:
+			case event.StoreRecovered:
 				lost = false
 			}
 		}
--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -57,7 +57,7 @@
 	JobLeavesRegion              = 750
 	JobWithoutReplica            = 751
 	StoreLost                    = 801
-	StoreRegained                = 802
+	StoreRecovered               = 802
 	RecordUnreadable             = 803
 	StoreLatencyChanged          = 805
 	NodesCounted                 = 806
@@ -140,7 +140,7 @@
 	{JobLeavesRegion, Info, "batch job must leave the region", "A newer configuration excludes this node's region from the job's home regions. The job is handed over to a node in one of them."},
 	{JobWithoutReplica, Warn, "batch job has no replica in its home regions", "The job's home regions have no replica. Its items wait for one until they may be abandoned."},
 	{StoreLost, Warn, "record store lost", "A watch of the record store failed. The node continues with the records it has and reads the table again."},
-	{StoreRegained, Info, "record store regained", "A table of the record store was read completely and is being watched again."},
+	{StoreRecovered, Info, "record store regained", "A table of the record store was read completely and is being watched again."},
 	{RecordUnreadable, Error, "record unreadable", "A record of the store cannot be decoded and is ignored."},
 	{StoreLatencyChanged, Info, "record store latency changed", "The node's estimate of the latency of record store calls has doubled or halved since it was last logged. Latencies below 50 ms are not logged."},
 	{NodesCounted, Info, "nodes counted", "The number of nodes that recently announced themselves, as counted by the holder of the order lease. Takeovers are spread over time accordingly."},
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -236,7 +236,7 @@
 	}
 	w.healthy = healthy
 	if healthy {
-		w.options.Queue.Log(event.StoreRegained, "table", w.options.Table, "revision", w.revision)
+		w.options.Queue.Log(event.StoreRecovered, "table", w.options.Table, "revision", w.revision)
 	}
 	w.options.OnHealth(now, healthy)
 }
