--- a/internal/command/operator/explain.go
+++ b/internal/command/operator/explain.go
@@ -289,7 +289,7 @@
 		state = fmt.Sprintf("%s at %.3f s", end.message, end.clockMs/1000)
 	}
 	return fmt.Sprintf("the job of %s items was accepted by %s at %.3f s; %s; taken over %d times, %d runs did not complete, %d items given up%s",
-		accepted.text("items"), accepted.node, accepted.clockMs/1000, state, count[event.JobTaken], count[event.ItemRetried], count[event.ItemTerminated], cause)
+		accepted.text("items"), accepted.node, accepted.clockMs/1000, state, count[event.JobTakenOver], count[event.ItemRetried], count[event.ItemTerminated], cause)
 }
 
 // refusalCause describes a refusal with the preceding attempts and the state of the node at that time.
--- a/internal/command/operator/explain_simulated_test.go
+++ b/internal/command/operator/explain_simulated_test.go
@@ -71,7 +71,7 @@
 		{"scorer-fails", "item", event.ScoringRetried, "item", "in 2 attempts"},
 		{"replica-breaks", "item", event.ItemRetried, "item", "interruptions"},
 		{"replica-slow", "item", event.ItemCompleted, "item", "us an event"},
-		{"node-kill", "job", event.JobTaken, "job", "taken over 1 times"},
+		{"node-kill", "job", event.JobTakenOver, "job", "taken over 1 times"},
 	} {
 		t.Run(c.faults+" "+c.id, func(t *testing.T) {
 			logs, ids := simulatedLogs(t, c.faults, c.field, c.number, c.id)
--- a/internal/command/operator/steps.go
+++ b/internal/command/operator/steps.go
@@ -108,7 +108,7 @@
 		}
 		item := id + "/" + line.text("item")
 		switch line.number {
-		case event.JobTaken, event.JobAssigned:
+		case event.JobTakenOver, event.JobAssigned:
 			step.ownerChanges++
 		case event.JobEnded:
 			step.endedMs = cmp.Or(step.endedMs, line.clockMs)
--- a/internal/command/operator/steps_test.go
+++ b/internal/command/operator/steps_test.go
@@ -46,7 +46,7 @@
 }
 
 func TestStepsOfSimulatedNodes(t *testing.T) {
-	logs, ids := simulatedLogs(t, "node-kill", "job", event.JobTaken, "job")
+	logs, ids := simulatedLogs(t, "node-kill", "job", event.JobTakenOver, "job")
 	var output bytes.Buffer
 	if err := Steps(&output, 0, bytes.NewReader(logs.Bytes())); err != nil {
 		t.Fatal(err)
--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -64,7 +64,7 @@
 	WatchSuspended               = 807
 	JobAccepted                  = 900
 	JobRefused                   = 901
-	JobTaken                     = 902
+	JobTakenOver                 = 902
 	JobDropped                   = 903
 	JobCompleted                 = 904
 	JobEnded                     = 905
@@ -147,7 +147,7 @@
 	{WatchSuspended, Info, "watch suspended", "This node currently does not need a large table. It does not follow the table's changes and reads it again before use."},
 	{JobAccepted, Info, "batch job accepted", "The job is stored in the record store and its acceptance was confirmed to the client."},
 	{JobRefused, Warn, "batch job refused", "The job was not accepted. outcome tells whether it may nevertheless be in the store."},
-	{JobTaken, Info, "batch job taken over", "This node now runs the job's items. The previous owner stopped responding or handed the job over."},
+	{JobTakenOver, Info, "batch job taken over", "This node now runs the job's items. The previous owner stopped responding or handed the job over."},
 	{JobDropped, Info, "batch job dropped", "This node no longer runs the job's items. Its running items were cancelled."},
 	{JobCompleted, Info, "batch job completed", "All items of the job have a position."},
 	{JobEnded, Info, "batch job ended", "The client needs no more results of the job."},
--- a/internal/simulation/clustersim/region.go
+++ b/internal/simulation/clustersim/region.go
@@ -140,7 +140,7 @@
 		}
 	case event.JobAssigned:
 		o.setOwner(n, job)
-	case event.JobTaken:
+	case event.JobTakenOver:
 		if former, _ := logField(fields, "former").(string); former != "" && former != n.name {
 			o.takeovers++
 			o.takeoversByJob[job]++
--- a/internal/version/batch/owner.go
+++ b/internal/version/batch/owner.go
@@ -131,7 +131,7 @@
 		if result.Status != port.RecordDone {
 			return
 		}
-		j.options.Queue.Log(event.JobTaken, "job", id, "former", former, "listed", next.Listed, "total", next.Total)
+		j.options.Queue.Log(event.JobTakenOver, "job", id, "former", former, "listed", next.Listed, "total", next.Total)
 		j.logCrossRegionTakeover(id, former, formerPlace)
 		j.loadJob(now, id, known, former)
 	})
