--- a/internal/version/batch/preference.go
+++ b/internal/version/batch/preference.go
@@ -92,6 +92,6 @@
 	if former == "" || region == "" || region == j.options.Topology.Region {
 		return
 	}
-	j.options.Queue.Log(event.JobTakenAcross, "job", id, "former", former, "former_region", region, "region", j.options.Topology.Region,
+	j.options.Queue.Log(event.JobTakenOverAcrossRegions, "job", id, "former", former, "former_region", region, "region", j.options.Topology.Region,
 		"former_store_latency_ms", place.GetStoreLatencyMs(), "store_latency_ms", j.storeLatency().Milliseconds())
 }
