--- a/internal/command/operator/explain.go
+++ b/internal/command/operator/explain.go
@@ -252,7 +252,7 @@
 			if line.text("to_score") == "true" {
 				cause = "; never scored"
 			}
-		case event.ScoringUnrouted:
+		case event.ScoringWithoutRoute:
 			cause = fmt.Sprintf("; never scored: no route for %s%s", line.text("host"), line.text("path"))
 		case event.ScoringRetried:
 			cause = fmt.Sprintf("; never scored: last, replica %s %s, %s failures", line.text("replica"), attemptCause(line), line.text("failures"))
--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -80,7 +80,7 @@
 	JobRead                      = 916
 	ScoringRetried               = 917
 	ItemScored                   = 918
-	ScoringUnrouted              = 919
+	ScoringWithoutRoute          = 919
 	RunMoved                     = 920
 	UsageAggregated              = 950
 	UsageReported                = 951
@@ -163,7 +163,7 @@
 	{JobRead, Info, "batch job read", "A client read results. from and results identify them, held_ms is how long the call waited for one."},
 	{ScoringRetried, Info, "scoring call retried", "An attempt of the item's scoring call returned no score. outcome, status and failures give the reason."},
 	{ItemScored, Info, "item scored", "The score of a complete text is available. The replica, attempts and durations are given."},
-	{ScoringUnrouted, Warn, "scoring call has no route", "The current configuration has no route for the item's scoring call. The call waits for one until the item may be abandoned."},
+	{ScoringWithoutRoute, Warn, "scoring call has no route", "The current configuration has no route for the item's scoring call. The call waits for one until the item may be abandoned."},
 	{RunMoved, Info, "run moved", "The item continues on a faster replica. reason gives the cause, pace_us and best_us the time per event on both replicas, left_ms the time until the results are due."},
 	{UsageAggregated, Info, "usage aggregated", "The counts of a window were added up and stored. stood tells that a previous holder had already stored a sum."},
 	{UsageReported, Info, "usage reported", "The report of a window was sent to the platform. status is its answer, late tells that the report was overdue."},
--- a/internal/version/batch/scoring.go
+++ b/internal/version/batch/scoring.go
@@ -96,7 +96,7 @@
 	it, call := &o.items[index], o.job.Items[index].Scoring
 	route := o.jobs.options.Route(call.Host, call.Path)
 	if route == nil && !it.unrouted {
-		o.jobs.options.Queue.Log(event.ScoringUnrouted, "job", o.id, "item", o.job.Items[index].Id, "host", call.Host, "path", call.Path)
+		o.jobs.options.Queue.Log(event.ScoringWithoutRoute, "job", o.id, "item", o.job.Items[index].Id, "host", call.Host, "path", call.Path)
 	}
 	it.unrouted = route == nil
 	return route
