--- a/internal/command/operator/explain.go
+++ b/internal/command/operator/explain.go
@@ -192,7 +192,7 @@
 func isContextEvent(number int) bool {
 	return slices.Contains([]int{
 		event.ProcessStarted, event.ProcessStopping, event.ProcessStopped, event.SettingsReloaded, event.RoutesApplied,
-		event.ReplicaLeaving, event.ReplicaRemoved, event.ReplicaEjected, event.StoreLost, event.StoreRegained, event.LogLinesDropped,
+		event.ReplicaLeaving, event.ReplicaRemoved, event.ReplicaEjected, event.StoreLost, event.StoreRecovered, event.LogLinesDropped,
 	}, number)
 }
 
@@ -252,7 +252,7 @@
 			if line.text("to_score") == "true" {
 				cause = "; never scored"
 			}
-		case event.ScoringUnrouted:
+		case event.ScoringWithoutRoute:
 			cause = fmt.Sprintf("; never scored: no route for %s%s", line.text("host"), line.text("path"))
 		case event.ScoringRetried:
 			cause = fmt.Sprintf("; never scored: last, replica %s %s, %s failures", line.text("replica"), attemptCause(line), line.text("failures"))
@@ -289,7 +289,7 @@
 		state = fmt.Sprintf("%s at %.3f s", end.message, end.clockMs/1000)
 	}
 	return fmt.Sprintf("the job of %s items was accepted by %s at %.3f s; %s; taken over %d times, %d runs did not complete, %d items given up%s",
-		accepted.text("items"), accepted.node, accepted.clockMs/1000, state, count[event.JobTaken], count[event.ItemRetried], count[event.ItemTerminated], cause)
+		accepted.text("items"), accepted.node, accepted.clockMs/1000, state, count[event.JobTakenOver], count[event.ItemRetried], count[event.ItemTerminated], cause)
 }
 
 // refusalCause describes a refusal with the preceding attempts and the state of the node at that time.
@@ -344,7 +344,7 @@
 			switch line.number {
 			case event.StoreLost:
 				lost = true
-			case event.StoreRegained:
+			case event.StoreRecovered:
 				lost = false
 			}
 		}
--- a/internal/process/event/event.go
+++ b/internal/process/event/event.go
@@ -42,7 +42,7 @@
 	ReplicaRemoved               = 711
 	ReplicaEjected               = 712
 	ReplicaRecordExpired         = 713
-	VersionNamed                 = 720
+	VersionAnnounced             = 720
 	VersionOrdered               = 721
 	VersionLoaded                = 722
 	ReportOfOtherIncarnation     = 723
@@ -57,21 +57,21 @@
 	JobLeavesRegion              = 750
 	JobWithoutReplica            = 751
 	StoreLost                    = 801
-	StoreRegained                = 802
+	StoreRecovered               = 802
 	RecordUnreadable             = 803
 	StoreLatencyChanged          = 805
 	NodesCounted                 = 806
 	WatchSuspended               = 807
 	JobAccepted                  = 900
 	JobRefused                   = 901
-	JobTaken                     = 902
+	JobTakenOver                 = 902
 	JobDropped                   = 903
 	JobCompleted                 = 904
 	JobEnded                     = 905
 	JobAssigned                  = 906
 	JobDeleted                   = 907
 	JobAssignedNearer            = 908
-	JobTakenAcross               = 909
+	JobTakenOverAcrossRegions    = 909
 	ItemRetried                  = 910
 	ItemTerminated               = 911
 	TextDiscarded                = 912
@@ -80,7 +80,7 @@
 	JobRead                      = 916
 	ScoringRetried               = 917
 	ItemScored                   = 918
-	ScoringUnrouted              = 919
+	ScoringWithoutRoute          = 919
 	RunMoved                     = 920
 	UsageAggregated              = 950
 	UsageReported                = 951
@@ -125,7 +125,7 @@
 	{ReplicaRemoved, Info, "replica removed", "The replica was removed from the list."},
 	{ReplicaEjected, Warn, "replica ejected", "The replica failed repeatedly and temporarily gets no work."},
 	{ReplicaRecordExpired, Info, "replica record expired", "The replica's record expired while the record store was unavailable. The replica is kept unless its record is still missing two seconds after the store's return."},
-	{VersionNamed, Info, "version named", "A trainer announced a new version of a model."},
+	{VersionAnnounced, Info, "version named", "A trainer announced a new version of a model."},
 	{VersionOrdered, Info, "version ordered", "The lease holder ordered a replica to load a version. status is the replica's answer."},
 	{VersionLoaded, Info, "version loaded", "The replica reports that it has loaded the ordered version."},
 	{ReportOfOtherIncarnation, Warn, "report of another incarnation", "The start times in the replica's report and in its record differ; both are given in Unix milliseconds. The report is not used as a basis for orders."},
@@ -140,21 +140,21 @@
 	{JobLeavesRegion, Info, "batch job must leave the region", "A newer configuration excludes this node's region from the job's home regions. The job is handed over to a node in one of them."},
 	{JobWithoutReplica, Warn, "batch job has no replica in its home regions", "The job's home regions have no replica. Its items wait for one until they may be abandoned."},
 	{StoreLost, Warn, "record store lost", "A watch of the record store failed. The node continues with the records it has and reads the table again."},
-	{StoreRegained, Info, "record store regained", "A table of the record store was read completely and is being watched again."},
+	{StoreRecovered, Info, "record store regained", "A table of the record store was read completely and is being watched again."},
 	{RecordUnreadable, Error, "record unreadable", "A record of the store cannot be decoded and is ignored."},
 	{StoreLatencyChanged, Info, "record store latency changed", "The node's estimate of the latency of record store calls has doubled or halved since it was last logged. Latencies below 50 ms are not logged."},
 	{NodesCounted, Info, "nodes counted", "The number of nodes that recently announced themselves, as counted by the holder of the order lease. Takeovers are spread over time accordingly."},
 	{WatchSuspended, Info, "watch suspended", "This node currently does not need a large table. It does not follow the table's changes and reads it again before use."},
 	{JobAccepted, Info, "batch job accepted", "The job is stored in the record store and its acceptance was confirmed to the client."},
 	{JobRefused, Warn, "batch job refused", "The job was not accepted. outcome tells whether it may nevertheless be in the store."},
-	{JobTaken, Info, "batch job taken over", "This node now runs the job's items. The previous owner stopped responding or handed the job over."},
+	{JobTakenOver, Info, "batch job taken over", "This node now runs the job's items. The previous owner stopped responding or handed the job over."},
 	{JobDropped, Info, "batch job dropped", "This node no longer runs the job's items. Its running items were cancelled."},
 	{JobCompleted, Info, "batch job completed", "All items of the job have a position."},
 	{JobEnded, Info, "batch job ended", "The client needs no more results of the job."},
 	{JobAssigned, Info, "batch job assigned", "This node now runs the job's items. The node that accepted the job assigned it to the node that runs the model's other jobs."},
 	{JobDeleted, Info, "batch job deleted", "The records of a finished job were deleted from the store. age_s is the time since its acceptance."},
 	{JobAssignedNearer, Info, "batch job assigned to a nearer owner", "The latency of the record store is clearly higher for the default owner of the job than for this one."},
-	{JobTakenAcross, Info, "batch job taken over across regions", "The previous owner was in another region. The locations and latencies of both owners are given."},
+	{JobTakenOverAcrossRegions, Info, "batch job taken over across regions", "The previous owner was in another region. The locations and latencies of both owners are given."},
 	{ItemRetried, Info, "item retried", "A run of the item did not complete. outcome, status and events give the reason and how much of the text is kept."},
 	{ItemTerminated, Warn, "item terminated", "The item was abandoned. reason gives the cause."},
 	{TextDiscarded, Info, "text discarded", "The item's text was generated by a version that its job does not allow and is generated again."},
@@ -163,7 +163,7 @@
 	{JobRead, Info, "batch job read", "A client read results. from and results identify them, held_ms is how long the call waited for one."},
 	{ScoringRetried, Info, "scoring call retried", "An attempt of the item's scoring call returned no score. outcome, status and failures give the reason."},
 	{ItemScored, Info, "item scored", "The score of a complete text is available. The replica, attempts and durations are given."},
-	{ScoringUnrouted, Warn, "scoring call has no route", "The current configuration has no route for the item's scoring call. The call waits for one until the item may be abandoned."},
+	{ScoringWithoutRoute, Warn, "scoring call has no route", "The current configuration has no route for the item's scoring call. The call waits for one until the item may be abandoned."},
 	{RunMoved, Info, "run moved", "The item continues on a faster replica. reason gives the cause, pace_us and best_us the time per event on both replicas, left_ms the time until the results are due."},
 	{UsageAggregated, Info, "usage aggregated", "The counts of a window were added up and stored. stood tells that a previous holder had already stored a sum."},
 	{UsageReported, Info, "usage reported", "The report of a window was sent to the platform. status is its answer, late tells that the report was overdue."},
--- a/internal/process/recordwatch/recordwatch.go
+++ b/internal/process/recordwatch/recordwatch.go
@@ -166,8 +166,8 @@
 	if distance <= maxChangeLatency {
 		return now
 	}
-	if heard := now.Add(-distance); heard.After(w.observedAt) {
-		return heard
+	if observed := now.Add(-distance); observed.After(w.observedAt) {
+		return observed
 	}
 	return w.observedAt
 }
@@ -236,7 +236,7 @@
 	}
 	w.healthy = healthy
 	if healthy {
-		w.options.Queue.Log(event.StoreRegained, "table", w.options.Table, "revision", w.revision)
+		w.options.Queue.Log(event.StoreRecovered, "table", w.options.Table, "revision", w.revision)
 	}
 	w.options.OnHealth(now, healthy)
 }
